--- a/roadpass/crash_guard.py
+++ b/roadpass/crash_guard.py
@@ -34,7 +34,7 @@
         self._lately: deque[tuple[float, str]] = deque(maxlen=MAX_LATELY)
         self._lock = threading.Lock()
 
-    def away(self) -> NotRun | None:
+    def refusal_while_down(self) -> NotRun | None:
         """Return why nothing is sent to a target that has ended, until it is seen to be back.
 
         Its entry stays for seconds: of 284 losses in 5 s of targets that ended under requests, 225
@@ -53,13 +53,13 @@
         is answered at its next try, which ends the doubt.
         """
         now = clock.now()
-        held_s = self._quarantine.held_s(now, attempt.fingerprint)
-        if held_s > 0.0:
-            return NotRun(Reason.QUARANTINED, int(held_s * 1000.0))
-        if not self._quarantine.doubts(now, attempt.fingerprint):
+        quarantined_s = self._quarantine.quarantined_s(now, attempt.fingerprint)
+        if quarantined_s > 0.0:
+            return NotRun(Reason.QUARANTINED, int(quarantined_s * 1000.0))
+        if not self._quarantine.is_suspect(now, attempt.fingerprint):
             return None
         others = set(self._work.copy().values()) - {attempt.fingerprint}
-        if any(self._quarantine.doubts(now, other) for other in others):
+        if any(self._quarantine.is_suspect(now, other) for other in others):
             return NotRun(Reason.KEPT_APART, RETRY_SOON_MS)
         return None
 
@@ -67,17 +67,17 @@
         """Note that the target gets a request."""
         self._work[attempt.id] = attempt.fingerprint
 
-    def finish(self, attempt: Attempt, *, broken_off: bool) -> None:
+    def finish(self, attempt: Attempt, *, aborted: bool) -> None:
         """Note that a request is over, or that nobody waits for it any more."""
         del self._work[attempt.id]
-        if broken_off:
+        if aborted:
             self._lately.append((clock.now(), attempt.fingerprint))
 
     def answered(self, attempt: Attempt) -> None:
         """Note that the target answered a request, and lives."""
-        self._quarantine.note_answer(clock.now(), attempt.fingerprint)
+        self._quarantine.record_answer(clock.now(), attempt.fingerprint)
 
-    def lost(self, attempt: Attempt, *, leaving: bool) -> bool:
+    def detect_crash(self, attempt: Attempt, *, leaving: bool) -> bool:
         """Find out whether a target that lost a request has ended, and note what it had.
 
         Args:
@@ -92,7 +92,7 @@
         self._note_end([attempt.fingerprint], leaving=leaving)
         return True
 
-    def refused(self, *, leaving: bool) -> None:
+    def record_refused_connection(self, *, leaving: bool) -> None:
         """Note that the target, which had ended, took no connection; see `lost`."""
         self._note_end([], leaving=leaving)
 
@@ -105,4 +105,4 @@
         if leaving:
             return
         for work in (*had, *lately):
-            self._quarantine.note_end(now, work, end)
+            self._quarantine.record_crash(now, work, end)
--- a/roadpass/dispatch.py
+++ b/roadpass/dispatch.py
@@ -7,10 +7,10 @@
 from collections.abc import Callable
 
 from roadpass import clock
-from roadpass.choice import Choice
+from roadpass.choice import TargetChooser
 from roadpass.fence import Verdict
 from roadpass.fleet import Service, Target
-from roadpass.kind import Kinds
+from roadpass.kind import RouteStatsTable
 from roadpass.learning import Learning
 from roadpass.load import LoadTable
 from roadpass.message import Attempt, Reply
@@ -28,13 +28,13 @@
 from roadpass.pause import PauseWatch
 from roadpass.peer import PeerPool
 from roadpass.quota_keeper import Quotas
-from roadpass.request import Pending, Request, Served, Way
+from roadpass.request import Pending, Request, RequestProgress, Served
 from roadpass.retry import RetryBudget
 from roadpass.route import Route
 from roadpass.sidecar import Sidecar
 from roadpass.stop_notices import StopNotices
 from roadpass.transport import CONNECT_S, Transport
-from roadpass.trip import MIN_ATTEMPT_S, Trip
+from roadpass.trip import MIN_ATTEMPT_S, RequestState
 from roadpass.trip_log import log_attempt, log_end, log_refused
 from roadpass.view import View
 
@@ -86,20 +86,26 @@
         self._calls = sidecar.calls
         self._quotas = quotas or Quotas()
         self._loads = LoadTable()
-        self._choice = Choice(view, self._loads, random.Random(seed))
+        self._chooser = TargetChooser(view, self._loads, random.Random(seed))
         self._numbers = itertools.count(1)
         self._budgets: dict[str, RetryBudget] = {}
         self._spent_until: dict[str, float] = {}
-        self._kinds = Kinds()
+        self._route_stats = RouteStatsTable()
         self._learning = Learning(
-            view, self._choice, self._loads, self._kinds, self._quarantine, pause, behind=behind
+            view,
+            self._chooser,
+            self._loads,
+            self._route_stats,
+            self._quarantine,
+            pause,
+            behind=behind,
         )
         self._waiting: dict[tuple[str, str], int] = {}
         self._lock = threading.Lock()
         self.observations = self._learning.observations
         self.pending: dict[str, Pending] = {}
         self.notices = StopNotices(view, self.pending, self._transport)
-        self._trips: dict[int, Trip] = {}
+        self._trips: dict[int, RequestState] = {}
 
     @property
     def loads(self) -> LoadTable:
@@ -111,16 +117,16 @@
         """Requests under way."""
         return sum(self._waiting.values())
 
-    def ways(self) -> list[Way]:
+    def in_progress(self) -> list[RequestProgress]:
         """Return where the requests are that are under way, the oldest first."""
-        return [self._way(trip) for trip in list(self._trips.values())]
+        return [self._way(state) for state in list(self._trips.values())]
 
-    def _way(self, trip: Trip) -> Way:
-        pending = self.pending.get(trip.attempt_id)
+    def _way(self, state: RequestState) -> RequestProgress:
+        pending = self.pending.get(state.attempt_id)
         if pending is None:
-            return Way(trip.request.id, trip.started, trip.arrivals)
-        sent = (trip.attempt_id, pending.since, pending.target, pending.vm)
-        return Way(trip.request.id, trip.started, trip.arrivals, *sent)
+            return RequestProgress(state.request.id, state.started, state.arrivals)
+        sent = (state.attempt_id, pending.since, pending.target, pending.vm)
+        return RequestProgress(state.request.id, state.started, state.arrivals, *sent)
 
     def dispatch(self, request: Request) -> Served:
         """See one request to its outcome."""
@@ -136,10 +142,10 @@
             return self._refused(request, NotRun(Reason.NO_ROUTE))
         if fleet.customers and request.access is None:  # they came between its reading and now
             return self._refused(request, NotRun(Reason.NOT_READY, RETRY_SOON_MS))
-        held_s = self._quarantine.held_s(started, request.fingerprint)
-        if held_s > 0.0:
-            return self._refused(request, NotRun(Reason.QUARANTINED, int(held_s * 1000.0)))
-        service = fleet.services.get(self._choice.part(route))
+        quarantined_s = self._quarantine.quarantined_s(started, request.fingerprint)
+        if quarantined_s > 0.0:
+            return self._refused(request, NotRun(Reason.QUARANTINED, int(quarantined_s * 1000.0)))
+        service = fleet.services.get(self._chooser.part(route))
         if service is None:
             return self._refused(request, NotRun(Reason.NO_CAPACITY, RETRY_LATER_MS))
         slot = (service.name, service.class_of(route, request.customer))
@@ -149,128 +155,136 @@
         if not self._enter(slot, service.waiting_limit):
             self._quotas.give_back(request.customer)
             return self._refused(request, NotRun(Reason.WAITING_LIMIT, RETRY_SOON_MS), *slot)
-        kind = self._kinds.of(route.name)
-        trip = Trip.begin(request, route, service, started, kind, self._kinds.patience(kind))
+        kind = self._route_stats.of(route.name)
+        state = RequestState.begin(
+            request, route, service, started, kind, self._route_stats.objective_factor(kind)
+        )
         outcome: Outcome = Unknown(Reason.TARGET_LOST)
-        self._trips[id(trip)] = trip
+        self._trips[id(state)] = state
         try:
-            outcome = self._attempts(trip)
+            outcome = self._attempts(state)
             return Served(outcome, *slot)
         finally:
-            del self._trips[id(trip)]
+            del self._trips[id(state)]
             self._leave(slot)
             if isinstance(outcome, NotRun):
                 self._quotas.give_back(request.customer)
             self._calls.note(started, clock.now(), request.deadline or math.inf, outcome)
-            log_end(trip, outcome, started, has_repeat=self._has_repeat(trip))
+            log_end(state, outcome, started, has_repeat=self._has_repeat(state))
 
     def _refused(self, request: Request, outcome: NotRun, *slot: str) -> Served:
         """Return what a request is told that was not tried at any target."""
         log_refused(request, outcome, self._view.fleet.revision)
         return Served(outcome, *slot)
 
-    def _attempts(self, trip: Trip) -> Outcome:
-        budget = self._budget(trip.service)
+    def _attempts(self, state: RequestState) -> Outcome:
+        budget = self._budget(state.service)
         budget.on_first_attempt()
         outcome: Outcome = NotRun(Reason.NO_CAPACITY, RETRY_LATER_MS)
         while True:
-            if trip.expired:
-                return trip.final(NotRun(Reason.EXPIRED, RETRY_SOON_MS))
-            if clock.now() >= self._view.ending.last_start(trip.told_usual_ms):
-                return trip.final(NotRun(Reason.LEAVING, RETRY_SOON_MS))
-            held_s = self._quarantine.held_s(clock.now(), trip.request.fingerprint)
-            if held_s > 0.0:  # heard while it waited; the next door may not have heard yet
-                return trip.final(NotRun(Reason.QUARANTINED, int(held_s * 1000.0)))
-            target = self._choice.pick(trip, has_repeat=self._has_repeat(trip))
-            if target is None and not trip.offers and trip.press():
+            if state.expired:
+                return state.final(NotRun(Reason.EXPIRED, RETRY_SOON_MS))
+            if clock.now() >= self._view.ending.last_start(state.told_usual_ms):
+                return state.final(NotRun(Reason.LEAVING, RETRY_SOON_MS))
+            quarantined_s = self._quarantine.quarantined_s(clock.now(), state.request.fingerprint)
+            if quarantined_s > 0.0:  # heard while it waited; the next door may not have heard yet
+                return state.final(NotRun(Reason.QUARANTINED, int(quarantined_s * 1000.0)))
+            target = self._chooser.pick(state, has_repeat=self._has_repeat(state))
+            if target is None and not state.offers and state.press():
                 continue
             if target is None:
-                self._finds_spent(trip, all_asked=not trip.offers)
-                return trip.final(_crowded(trip) if trip.offers else outcome)
-            outcome = self._attempt(trip, target)
-            if trip.waits_in_vain:
+                self._finds_spent(state, all_asked=not state.offers)
+                return state.final(_crowded(state) if state.offers else outcome)
+            outcome = self._attempt(state, target)
+            if state.waits_in_vain:
                 outcome = _given_up(outcome)
-            if not self._goes_on(trip, target, outcome, budget):
-                return trip.final(outcome)
+            if not self._goes_on(state, target, outcome, budget):
+                return state.final(outcome)
 
-    def _goes_on(self, trip: Trip, target: Target, outcome: Outcome, budget: RetryBudget) -> bool:
+    def _goes_on(
+        self, state: RequestState, target: Target, outcome: Outcome, budget: RetryBudget
+    ) -> bool:
         """Note how an attempt ended; return whether another one may be made."""
         match outcome:
             case NotRun(reason=Reason.BUSY | Reason.DOUBTFUL):
-                return not trip.waits_in_vain
+                return not state.waits_in_vain
             case _:
-                trip.tried.add(target.name)
+                state.tried.add(target.name)
         match outcome:
             case NotRun(reason=reason) if reason is not Reason.SHED:
-                trip.moves += 1
-                trip.refused[target.name] = reason
-                if trip.waits_in_vain or trip.moves >= FREE_MOVES or self._finds_spent(trip):
+                state.moves += 1
+                state.refused[target.name] = reason
+                if state.waits_in_vain or state.moves >= FREE_MOVES or self._finds_spent(state):
                     return False
                 return reason not in _FINAL_REASONS
             case NotRun():
-                trip.note_arrival()
+                state.note_arrival()
             case _:
-                trip.note_arrival()
-                trip.may_have_run = outcome
-        if self._quarantine.held_s(clock.now(), trip.request.fingerprint) > 0.0:
+                state.note_arrival()
+                state.may_have_run = outcome
+        if self._quarantine.quarantined_s(clock.now(), state.request.fingerprint) > 0.0:
             return False
-        return _may_retry(outcome, trip.route) and trip.may_arrive and budget.take()
+        return _may_retry(outcome, state.route) and state.may_arrive and budget.take()
 
-    def _has_repeat(self, trip: Trip) -> bool:
+    def _has_repeat(self, state: RequestState) -> bool:
         """Tell whether another attempt may follow; a node that leaves sees each to its end."""
-        if self._view.leaving or self._budget(trip.service).tokens < 1.0:
+        if self._view.leaving or self._budget(state.service).tokens < 1.0:
             return False
-        return not self._spent_lately(trip.service)
+        return not self._spent_lately(state.service)
 
-    def _finds_spent(self, trip: Trip, *, all_asked: bool = False) -> bool:
+    def _finds_spent(self, state: RequestState, *, all_asked: bool = False) -> bool:
         """Tell whether enough targets had no repeat left for a request, and remember that."""
-        words = sum(reason is Reason.REPEATS_SPENT for reason in trip.refused.values())
-        if words < (1 if all_asked or self._spent_lately(trip.service) else SPENT_ASKS):
+        words = sum(reason is Reason.REPEATS_SPENT for reason in state.refused.values())
+        if words < (1 if all_asked or self._spent_lately(state.service) else SPENT_ASKS):
             return False
-        self._spent_until[trip.service.name] = clock.now() + SPENT_S
+        self._spent_until[state.service.name] = clock.now() + SPENT_S
         return True
 
     def _spent_lately(self, service: Service) -> bool:
         """Tell whether the targets of a service have just said that their repeats are spent."""
         return clock.now() < self._spent_until.get(service.name, -math.inf)
 
-    def _attempt(self, trip: Trip, target: Target) -> Outcome:
+    def _attempt(self, state: RequestState, target: Target) -> Outcome:
         attempt_id = f"{self._prefix}{next(self._numbers)}"
-        if trip.key and trip.request.repeat:
-            refusal = self._fence_key(trip, attempt_id)
+        if state.key and state.request.repeat:
+            refusal = self._fence_key(state, attempt_id)
             if refusal is not None:
                 return refusal
         started = clock.now()
-        attempt = self._next_attempt(trip, attempt_id, target, started)
-        pending = Pending.of(attempt, trip.service.name, target.vm, started, trip.deadline)
-        reply = self._send(trip, target, attempt, pending)
-        last = trip.is_last(self._has_repeat(trip))
-        self._learning.note(clock.now(), trip, target, reply, pending, started, last=last)
+        attempt = self._next_attempt(state, attempt_id, target, started)
+        pending = Pending.of(attempt, state.service.name, target.vm, started, state.deadline)
+        reply = self._send(state, target, attempt, pending)
+        last = state.is_last(self._has_repeat(state))
+        self._learning.note(clock.now(), state, target, reply, pending, started, last=last)
         used = self._loads.load(target.name, started).utilization
-        log_attempt(trip, target, attempt, reply, started, used)
+        log_attempt(state, target, attempt, reply, started, used)
         return reply.outcome
 
-    def _next_attempt(self, trip: Trip, attempt_id: str, target: Target, now: float) -> Attempt:
-        slow_ms = self._view.service(trip.service.name).slow_ms.get(target.name, 0.0)
+    def _next_attempt(
+        self, state: RequestState, attempt_id: str, target: Target, now: float
+    ) -> Attempt:
+        slow_ms = self._view.service(state.service.name).slow_ms.get(target.name, 0.0)
         if slow_ms > 0.0:  # what the others' mix of requests makes slow may be usual for its kind
-            slow_ms = max(slow_ms, trip.slow_ms)
-        return trip.attempt(
+            slow_ms = max(slow_ms, state.slow_ms)
+        return state.attempt(
             attempt_id,
             target,
             now,
             revision=self._view.fleet.revision,
             slow_ms=slow_ms,
-            has_repeat=self._has_repeat(trip),
+            has_repeat=self._has_repeat(state),
         )
 
-    def _send(self, trip: Trip, target: Target, attempt: Attempt, pending: Pending) -> Reply:
+    def _send(
+        self, state: RequestState, target: Target, attempt: Attempt, pending: Pending
+    ) -> Reply:
         """Send an attempt, and count it as under way until its end."""
         self.pending[attempt.id] = pending
-        trip.attempt_id = attempt.id
+        state.attempt_id = attempt.id
         self._loads.begin(target.name)
         latency_ms: float | None = None
         try:
-            reply = self._transport.send(target, attempt, trip.request.watch)
+            reply = self._transport.send(target, attempt, state.request.watch)
             match reply.outcome:
                 case Answered(service_ms=service_ms):
                     latency_ms = service_ms
@@ -281,21 +295,21 @@
             del self.pending[attempt.id]
             self._loads.end(target.name, latency_ms, overdue=pending.looks > 0)
 
-    def _fence_key(self, trip: Trip, attempt_id: str) -> Outcome | None:
+    def _fence_key(self, state: RequestState, attempt_id: str) -> Outcome | None:
         """Have every sidecar of the service vouch that a declared repeat's key never started."""
-        vms = {target.vm for target in self._view.fleet.targets_of(trip.service.name)}
+        vms = {target.vm for target in self._view.fleet.targets_of(state.service.name)}
         for vm in sorted(vms):
-            left = min(trip.deadline, self._view.ending.asks_until) - clock.now()
+            left = min(state.deadline, self._view.ending.asks_until) - clock.now()
             if left < MIN_ATTEMPT_S:
                 return Unknown(Reason.KEY_USED)
-            verdict = self._transport.fence_key(vm, trip.key, attempt_id, min(left, CONNECT_S))
+            verdict = self._transport.fence_key(vm, state.key, attempt_id, min(left, CONNECT_S))
             if verdict is not Verdict.NEVER_STARTS:
                 return Unknown(Reason.KEY_USED)
         return None
 
     def _budget(self, service: Service) -> RetryBudget:
         budget = self._budgets.get(service.name)
-        if budget is None or not budget.allows_as(service.retry_ratio, service.retry_burst):
+        if budget is None or not budget.has_settings(service.retry_ratio, service.retry_burst):
             budget = RetryBudget(service.retry_ratio, burst=service.retry_burst)
             self._budgets[service.name] = budget
         return budget
@@ -322,9 +336,9 @@
             return outcome
 
 
-def _crowded(trip: Trip) -> NotRun:
+def _crowded(state: RequestState) -> NotRun:
     """Return the word on a request that every target would be late for."""
-    return NotRun(Reason.BUSY, max(int(trip.least_wait_ms()), RETRY_SOON_MS))
+    return NotRun(Reason.BUSY, max(int(state.least_wait_ms()), RETRY_SOON_MS))
 
 
 def _may_retry(outcome: Outcome, route: Route) -> bool:
--- a/roadpass/exchange.py
+++ b/roadpass/exchange.py
@@ -107,7 +107,7 @@
             outcome, end = self._outcome(attempt, started, deadline, watch)
             return outcome, end
         finally:
-            self.guard.finish(attempt, broken_off=end is End.SILENT)
+            self.guard.finish(attempt, aborted=end is End.SILENT)
 
     def _outcome(
         self, attempt: Attempt, started: float, deadline: float, watch: CallerWatch | None
@@ -117,7 +117,7 @@
         except TargetRefusedError as error:
             gone = isinstance(error.__cause__, ConnectionRefusedError)
             if gone:
-                self.guard.refused(leaving=self._slots.leaving)
+                self.guard.record_refused_connection(leaving=self._slots.leaving)
             self._log_loss(attempt, error, gone=gone)
             return NotRun(Reason.REFUSED, RETRY_LATER_MS), End.LOST
         except TargetTimeoutError:
@@ -126,7 +126,7 @@
             return Unknown(Reason.CANCELLED), End.SILENT
         except TargetError as error:
             lost = isinstance(error, TargetLostError)
-            gone = lost and self.guard.lost(attempt, leaving=self._slots.leaving)
+            gone = lost and self.guard.detect_crash(attempt, leaving=self._slots.leaving)
             self._log_loss(attempt, error, gone=gone)
             return Unknown(Reason.TARGET_LOST), End.LOST if lost else End.NOTHING
         now = clock.now()
--- a/roadpass/gossip.py
+++ b/roadpass/gossip.py
@@ -209,7 +209,7 @@
                 self._events.on_hint(hint.target, hint.scores)
                 self._tells_on = True
         for crash in message.get("crashes", ()):
-            self._quarantine.hear(now, crash)
+            self._quarantine.merge(now, crash)
         reports = tuple(Report(*row) for row in message.get("usage", ()))
         words = tuple(Allowance(*row) for row in message.get("allowances", ()))
         if reports or words:
--- a/roadpass/kind.py
+++ b/roadpass/kind.py
@@ -9,15 +9,15 @@
 LOST_SMOOTHING = 0.2
 """Weights of one answer in the size, and of one loss in the time after which losses are noticed,
 that requests of a route are taken to have."""
-PATIENCE_MAX = 4.0
+OBJECTIVE_FACTOR_MAX = 4.0
 """How many times its objective a request may take at the most that is short beside the others."""
-KINDS_MAX = 4096
+ROUTES_MAX = 4096
 """Routes that are known, 0.2 KB each; at the limit all are learnt anew."""
 _LOSSES = frozenset((Reason.TIMEOUT, Reason.TARGET_LOST, Reason.STREAM_LOST))
 
 
 @dataclass(slots=True)
-class Kind:
+class RouteStats:
     """The requests of one route.
 
     Args:
@@ -39,23 +39,23 @@
         self.lost_ms += LOST_SMOOTHING * (took_ms - self.lost_ms)
 
 
-class Kinds:
+class RouteStatsTable:
     """The kinds of requests that an ingress has seen."""
 
     def __init__(self) -> None:
-        self._kinds: dict[str, Kind] = {}
+        self._kinds: dict[str, RouteStats] = {}
         self._all = UsualTime()
 
-    def of(self, route: str) -> Kind:
+    def of(self, route: str) -> RouteStats:
         """Return what is known of the requests of a route."""
         found = self._kinds.get(route)
         if found is None:
-            if len(self._kinds) >= KINDS_MAX:
+            if len(self._kinds) >= ROUTES_MAX:
                 self._kinds = {}
-            found = self._kinds[route] = Kind()
+            found = self._kinds[route] = RouteStats()
         return found
 
-    def patience(self, kind: Kind) -> float:
+    def objective_factor(self, kind: RouteStats) -> float:
         """Return how many times its objective a request of a kind may take.
 
         One that is short beside the others delays them by little, and often one of them waits for
@@ -64,7 +64,7 @@
         own_ms = kind.usual.typical_ms
         if own_ms <= 0.0:
             return 1.0
-        return min(PATIENCE_MAX, max(1.0, self._all.typical_ms / own_ms))
+        return min(OBJECTIVE_FACTOR_MAX, max(1.0, self._all.typical_ms / own_ms))
 
     def learn(self, route: str, outcome: Outcome, *, body_bytes: int, took_ms: float) -> None:
         """Learn from the end of an attempt.
--- a/roadpass/learning.py
+++ b/roadpass/learning.py
@@ -7,17 +7,17 @@
 from collections import deque
 from collections.abc import Callable
 
-from roadpass.choice import Choice
+from roadpass.choice import TargetChooser
 from roadpass.detect import Sample, Scores
 from roadpass.fleet import Target
-from roadpass.kind import Kinds
+from roadpass.kind import RouteStatsTable
 from roadpass.load import LoadTable
 from roadpass.message import LoadReport, Reply
 from roadpass.outcome import SERVER_ERROR, Answered, NotRun, Outcome, Reason, Unknown
 from roadpass.pause import PauseWatch
 from roadpass.quarantine import Quarantine
 from roadpass.request import Observation, Pending
-from roadpass.trip import Trip
+from roadpass.trip import RequestState
 from roadpass.view import View
 
 
@@ -26,9 +26,9 @@
 
     Args:
         view: Has the revision in force here.
-        choice: Among targets.
+        chooser: Among targets.
         loads: Beliefs of the targets' load.
-        kinds: What is usual for the requests of each route.
+        route_stats: What is usual for the requests of each route.
         quarantine: What the node knows of requests under which targets ended.
         pause: Tells when this process stood still.
         behind: Called with a VM and its revision when that is newer than the own one.
@@ -40,18 +40,18 @@
     def __init__(
         self,
         view: View,
-        choice: Choice,
+        chooser: TargetChooser,
         loads: LoadTable,
-        kinds: Kinds,
+        route_stats: RouteStatsTable,
         quarantine: Quarantine,
         pause: PauseWatch,
         *,
         behind: Callable[[str, int], None],
     ) -> None:
         self._view = view
-        self._choice = choice
+        self._chooser = chooser
         self._loads = loads
-        self._kinds = kinds
+        self._route_stats = route_stats
         self._quarantine = quarantine
         self._pause = pause
         self._behind = behind
@@ -60,7 +60,7 @@
     def note(
         self,
         now: float,
-        trip: Trip,
+        state: RequestState,
         target: Target,
         reply: Reply,
         pending: Pending,
@@ -72,7 +72,7 @@
 
         Args:
             now: Clock seconds.
-            trip: Of the request.
+            state: Of the request.
             target: To which the attempt went.
             reply: What is known of its end, and of its target.
             pending: The attempt, as it was watched while it was under way.
@@ -81,11 +81,13 @@
         """
         took_ms = (now - started) * 1000.0
         scores, latency_ms = None, 0.0
-        body_bytes = len(trip.request.body)
-        self._kinds.learn(trip.route.name, reply.outcome, body_bytes=body_bytes, took_ms=took_ms)
-        self._choice.learn(now, trip, target, reply, last=last)
+        body_bytes = len(state.request.body)
+        self._route_stats.learn(
+            state.route.name, reply.outcome, body_bytes=body_bytes, took_ms=took_ms
+        )
+        self._chooser.learn(now, state, target, reply, last=last)
         if reply.crash is not None:
-            self._quarantine.hear(now, reply.crash)
+            self._quarantine.merge(now, reply.crash)
         if reply.load is not None:
             self._loads.report(now, target.name, reply.load)
             if reply.load.revision > self._view.fleet.revision:
@@ -93,7 +95,7 @@
             scores, latency_ms = _scores(reply.load), reply.load.latency_ms
         stalled = self._pause.last_stall >= started
         sample = None if stalled else _sample(reply.outcome, took_ms)
-        service, looks = trip.service.name, pending.looks
+        service, looks = state.service.name, pending.looks
         self.observations.append(
             Observation(service, target.name, sample, scores, latency_ms, now, looks > 0)
         )
--- a/roadpass/load.py
+++ b/roadpass/load.py
@@ -20,9 +20,9 @@
 CUT_MAX_S = 4.0
 """Seconds for which a target to which the way is cut is not asked, the first time and at most:
 asking costs a request 0.1 s, cuts last for seconds."""
-WORD_S = 0.06
-FAR_WORD_MIN_S = 0.15
-FAR_WORD_S = 0.4
+OFFER_TTL_S = 0.06
+FAR_OFFER_TTL_MIN_S = 0.15
+FAR_OFFER_TTL_MAX_S = 0.4
 """Seconds for which a target is taken at its word that it is full or doubtful: asked again by every
 request, the near ones cost time, the far ones bytes. A far one's word holds as long as the wait
 that it told, within the latter two."""
@@ -164,8 +164,12 @@
         """
         if wait_ms <= 0.0 and last:
             return
-        held_s = min(FAR_WORD_S, max(FAR_WORD_MIN_S, wait_ms / 1000.0)) if far else WORD_S
-        until = now + held_s
+        quarantined_s = (
+            min(FAR_OFFER_TTL_MAX_S, max(FAR_OFFER_TTL_MIN_S, wait_ms / 1000.0))
+            if far
+            else OFFER_TTL_S
+        )
+        until = now + quarantined_s
         self._words[target] = Said(bad, wait_ms, until)
 
     def forget_word(self, target: str) -> None:
--- a/roadpass/local.py
+++ b/roadpass/local.py
@@ -199,11 +199,15 @@
 
     def _new_work_refusal(self, question: Question) -> NotRun | None:
         """Return why the target is given no new work now, `None` if it is, whatever its queue."""
-        return self._door_refusal(question) or self._guard.away() or self._repeat_refusal(question)
+        return (
+            self._door_refusal(question)
+            or self._guard.refusal_while_down()
+            or self._repeat_refusal(question)
+        )
 
     def _repeat_refusal(self, question: Question) -> NotRun | None:
         with self._lock:
-            allowed = not question.repeat or self._repeats.has_one(clock.now())
+            allowed = not question.repeat or self._repeats.has_repeat_left(clock.now())
         return None if allowed else NotRun(Reason.REPEATS_SPENT, RETRY_SOON_MS)
 
     def _door_refusal(self, question: Question) -> NotRun | None:
@@ -220,7 +224,7 @@
         self._door_log.tell(now)
         if admitted:
             return None
-        return NotRun(Reason.SICK, max(SICK_RETRY_MS, int(wait_s * 1000.0)))
+        return NotRun(Reason.FAILING, max(SICK_RETRY_MS, int(wait_s * 1000.0)))
 
     def run(self, attempt: Attempt, deadline: float, watch: CallerWatch | None = None) -> Outcome:
         """Admit, start at most once, and see to the end of one attempt.
@@ -331,7 +335,7 @@
             visit = self._door.begin(
                 started, attempt.route, told_ms=attempt.usual_ms, customer=attempt.customer
             )
-            self._repeats.arrive(started, repeat=attempt.retry)
+            self._repeats.record_arrival(started, repeat=attempt.retry)
         return visit, bad
 
     def _note_end(self, attempt: Attempt, visit: Visit, end: End) -> None:
--- a/roadpass/node.py
+++ b/roadpass/node.py
@@ -109,7 +109,7 @@
         self._board.quota_keeper = self._start(
             QuotaKeeper, self._quotas, self._view, self._board.tell_quota
         )
-        self._sidecar.quarantine.on_news = self._board.on_crash_news
+        self._sidecar.quarantine.on_change = self._board.on_crash_news
         self._board.monitor = self._start_monitor()
         self._board.puller = self._start(
             Puller, self._peers, self._store, self._board.on_offer, self.metrics
--- a/roadpass/outcome.py
+++ b/roadpass/outcome.py
@@ -32,7 +32,7 @@
     STALE_ROUTE = "stale-route"
     UNREACHABLE = "unreachable"
     SHED = "shed-by-target"
-    SICK = "target-failing"
+    FAILING = "target-failing"
     REFUSED = "target-refused-connection"
     REPEATS_SPENT = "repeats-spent"
     QUARANTINED = "quarantined"
--- a/roadpass/peer_positions.py
+++ b/roadpass/peer_positions.py
@@ -2,7 +2,7 @@
 
 from roadpass.news import PeerPosition
 from roadpass.position import Position
-from roadpass.unanswered import Unanswered
+from roadpass.unanswered import PeerBackoff
 
 
 class PeerPositions:
@@ -10,7 +10,7 @@
 
     def __init__(self) -> None:
         self._peers: dict[str, PeerPosition] = {}
-        self._unanswered = Unanswered()
+        self._unanswered = PeerBackoff()
 
     def note(self, peer: PeerPosition) -> None:
         """Note a peer's position in the place of its last one."""
@@ -30,17 +30,17 @@
             `None` if no peer holds more, or none of those has answered lately.
         """
         self._peers = {vm: p for vm, p in self._peers.items() if p.position > watermark}
-        can_be_asked = [p for vm, p in self._peers.items() if not self._unanswered.holds(vm, now)]
+        can_be_asked = [p for vm, p in self._peers.items() if not self._unanswered.avoids(vm, now)]
         return max(can_be_asked, key=self._rank, default=None)
 
     def answered(self, vm: str) -> None:
         """Note that a peer told all that it held."""
         self._peers.pop(vm, None)
-        self._unanswered.answered(vm)
+        self._unanswered.record_reply(vm)
 
     def did_not_answer(self, vm: str, now: float) -> None:
         """Note that a peer could not be asked at a moment."""
-        self._unanswered.note(vm, now)
+        self._unanswered.record_failure(vm, now)
 
     def _rank(self, peer: PeerPosition) -> tuple[int, bool, Position, float]:
-        return (-self._unanswered.times(peer.vm), peer.near, peer.position, peer.at)
+        return (-self._unanswered.failures(peer.vm), peer.near, peer.position, peer.at)
--- a/roadpass/quarantine.py
+++ b/roadpass/quarantine.py
@@ -20,7 +20,7 @@
 
 from roadpass.decision import decided
 
-ENDS = 3
+MIN_CRASHES = 3
 """Targets that must have ended. One or two are often bystanders' lot: with two, a repeatable
 request whose first and second target end by themselves would be refused for minutes."""
 HOLD_S = 600.0
@@ -91,9 +91,9 @@
         """Time of the latest end."""
         return max(self.ends.values(), default=-math.inf)
 
-    def held_s(self, now: float) -> float:
+    def quarantined_s(self, now: float) -> float:
         """Return for how many more seconds the request is refused, 0 if it is not."""
-        return max(0.0, self.last_at + HOLD_S - now) if self.count >= ENDS else 0.0
+        return max(0.0, self.last_at + HOLD_S - now) if self.count >= MIN_CRASHES else 0.0
 
     def over(self, now: float) -> bool:
         """Tell whether it says nothing any more."""
@@ -104,7 +104,7 @@
     def add(self, end: str, at: float) -> None:
         """Add an end; the latest few tell all."""
         self.ends.setdefault(end, at)
-        if len(self.ends) > ENDS:
+        if len(self.ends) > MIN_CRASHES:
             del self.ends[min(self.ends, key=self.ends.__getitem__)]
 
     def standing(self) -> "_Standing":
@@ -116,7 +116,7 @@
     """What a node knows of requests under which targets ended; any thread may use it.
 
     Attributes:
-        on_news: Called once there is something to tell other nodes; it must not block.
+        on_change: Called once there is something to tell other nodes; it must not block.
     """
 
     def __init__(self) -> None:
@@ -124,14 +124,14 @@
         self._least: list[tuple[str, _Standing]] = []
         self._answers: OrderedDict[str, float] = OrderedDict()
         self._lock = threading.Lock()
-        self.on_news: Callable[[], None] = lambda: None
+        self.on_change: Callable[[], None] = lambda: None
 
     @property
     def size(self) -> int:
         """Fingerprints with ends, or voided ones, that are remembered."""
         return len(self._records)
 
-    def held_s(self, now: float, fingerprint: str) -> float:
+    def quarantined_s(self, now: float, fingerprint: str) -> float:
         """Return for how many more seconds a request is refused, 0 if it is not.
 
         Args:
@@ -142,9 +142,9 @@
             return 0.0
         with self._lock:
             record = self._records.get(fingerprint)
-            return record.held_s(now) if record is not None else 0.0
+            return record.quarantined_s(now) if record is not None else 0.0
 
-    def doubts(self, now: float, fingerprint: str) -> bool:
+    def is_suspect(self, now: float, fingerprint: str) -> bool:
         """Tell whether a request was there when a target ended, and not answered since."""
         if fingerprint not in self._records:
             return False
@@ -152,7 +152,7 @@
             record = self._records.get(fingerprint)
             return record is not None and record.count > 0 and not record.over(now)
 
-    def note_end(self, now: float, fingerprint: str, end: str) -> None:
+    def record_crash(self, now: float, fingerprint: str, end: str) -> None:
         """Note that a target ended with a request.
 
         Args:
@@ -171,7 +171,7 @@
             self._make_room(now)
         self._tell(event, fingerprint, "own")
 
-    def note_answer(self, now: float, fingerprint: str) -> None:
+    def record_answer(self, now: float, fingerprint: str) -> None:
         """Note that a target answered a request, so that it is not what targets end under."""
         if not fingerprint:
             return
@@ -200,14 +200,16 @@
                 del self._records[fingerprint]
             told = sorted(self._records.items(), key=lambda item: item[1].sent)
             news = [item for item in told if item[1].sent < TRANSMISSIONS][:ROWS]
-            held = [one for one in told if one[1].sent >= TRANSMISSIONS and one[1].held_s(now)]
+            held = [
+                one for one in told if one[1].sent >= TRANSMISSIONS and one[1].quarantined_s(now)
+            ]
             rows = []
             for fingerprint, record in [*news, *held[:HELD_ROWS]][:ROWS]:
                 record.sent += 1
                 rows.append(_row(now, fingerprint, record))
             return rows
 
-    def hear(self, now: float, row: Sequence[Any]) -> None:
+    def merge(self, now: float, row: Sequence[Any]) -> None:
         """Take in what another node knows of a request.
 
         Args:
@@ -218,7 +220,7 @@
         with self._lock:
             record = self._records.setdefault(fingerprint, _Record())
             before = record.standing()
-            for end, age_s in ends[:ENDS]:
+            for end, age_s in ends[:MIN_CRASHES]:
                 record.add(end, now - max(0.0, age_s))
             if answer_age_s >= 0.0:
                 record.answered_at = max(record.answered_at, now - answer_age_s)
@@ -245,7 +247,7 @@
             ends=event.ends,
             last_end_age_s=round(event.last_age_s, 3),
         )
-        self.on_news()
+        self.on_change()
 
     def _make_room(self, now: float) -> None:
         """Forget the records that prove least, the oldest first, where there are too many."""
@@ -271,7 +273,7 @@
     if not news:
         return None
     record.sent = 0
-    what = "held" if record.held_s(now) else "doubted" if record.count else "cleared"
+    what = "held" if record.quarantined_s(now) else "doubted" if record.count else "cleared"
     return _Event(what, record.count, now - record.last_at)
 
 
--- a/roadpass/reader.py
+++ b/roadpass/reader.py
@@ -21,7 +21,7 @@
 from roadpass.revision import Held, Manifest, Version
 from roadpass.settings import Settings
 from roadpass.stream import FRAME_LIMIT_S
-from roadpass.unanswered import Unanswered
+from roadpass.unanswered import PeerBackoff
 
 VM_LIST_S = 10.0
 RETRY_S = 2.0
@@ -243,7 +243,7 @@
         self._offer = offer
         self._metrics = metrics
         self._offered: dict[Version, float] = {}
-        self._unanswered = Unanswered()
+        self._unanswered = PeerBackoff()
 
     def handle(self, message: Any) -> None:
         """Handle one message."""
@@ -259,13 +259,13 @@
         recent = now - self._offered.get(news.version, float("-inf")) < PULL_S
         if news.version <= held.version or recent or self._store.is_refused(news.version):
             return
-        if self._unanswered.holds(news.address, now):
+        if self._unanswered.avoids(news.address, now):
             return
         pulled = self._pull_either_way(held, news.address)
         if pulled is None:
-            self._unanswered.note(news.address, clock.now())
+            self._unanswered.record_failure(news.address, clock.now())
             return
-        self._unanswered.answered(news.address)
+        self._unanswered.record_reply(news.address)
         manifest, documents = pulled
         self._offered = {v: at for v, at in self._offered.items() if now - at < PULL_S}
         self._offered[manifest.version] = now
--- a/roadpass/request.py
+++ b/roadpass/request.py
@@ -110,7 +110,7 @@
         return cls(service, attempt.target, now, vm, attempt.usual_ms, until, deadline)
 
 
-class Way(NamedTuple):
+class RequestProgress(NamedTuple):
     """Where a request is that is under way.
 
     Args:
--- a/roadpass/retry.py
+++ b/roadpass/retry.py
@@ -25,7 +25,7 @@
         self._burst = burst
         self._tokens = burst if math.isinf(burst) else 1.0
 
-    def allows_as(self, ratio: float, burst: float) -> bool:
+    def has_settings(self, ratio: float, burst: float) -> bool:
         """Tell whether the budget has these settings."""
         return (ratio, burst) == (self._ratio, self._burst)
 
@@ -76,7 +76,7 @@
         self._slack = slack
         self._window_s = window_s
 
-    def has_one(self, now: float) -> bool:
+    def has_repeat_left(self, now: float) -> bool:
         """Tell whether a repeat may arrive now.
 
         Args:
@@ -86,7 +86,7 @@
         allowed = self._ratio * len(self._firsts) + self._slack
         return len(self._repeats) + 1 <= allowed + ROUNDING
 
-    def arrive(self, now: float, *, repeat: bool) -> None:
+    def record_arrival(self, now: float, *, repeat: bool) -> None:
         """Count an arrival at the target.
 
         Args:
--- a/roadpass/stop.py
+++ b/roadpass/stop.py
@@ -151,7 +151,7 @@
 
     def _list(self, what: str) -> None:
         """Log each request that is under way, and where it is."""
-        for way in self._dispatcher.ways()[:LISTED]:
+        for way in self._dispatcher.in_progress()[:LISTED]:
             decided(
                 "stop",
                 what,
--- a/roadpass/trip.py
+++ b/roadpass/trip.py
@@ -5,7 +5,7 @@
 
 from roadpass import clock
 from roadpass.fleet import Service, Target
-from roadpass.kind import Kind
+from roadpass.kind import RouteStats
 from roadpass.message import Attempt
 from roadpass.offer import FAR_OVERHEAD_KB, LATE_LOSS, Costs, Offer
 from roadpass.outcome import NotRun, Outcome, Reason
@@ -49,7 +49,7 @@
 
 
 @dataclass(slots=True)
-class Trip:
+class RequestState:
     """One request, where it has been, and what became of it there.
 
     Args:
@@ -63,8 +63,8 @@
         long_ms: Milliseconds that nearly all of its kind take at the most, 0 if unknown.
         slow_ms: Milliseconds from which on one of its kind is slow, 0 if unknown.
         lost_ms: Milliseconds after which an attempt of its kind is usually known to be lost.
-        patience: How many times its objective it may take: more for what is short beside other
-            requests, since it delays them by little, and often one of them waits for it.
+        objective_factor: How many times its objective it may take: more for what is short beside
+            other requests, since it delays them by little, and often one of them waits for it.
         far_loss: What its way to another data hall costs, as a share of a lost request.
         tried: Targets that are not asked again.
         offers: What targets said that had no free slot, or are doubtful.
@@ -88,7 +88,7 @@
     long_ms: float = 0.0
     slow_ms: float = 0.0
     lost_ms: float = 0.0
-    patience: float = 1.0
+    objective_factor: float = 1.0
     far_loss: float = 0.0
     tried: set[str] = field(default_factory=set)
     offers: dict[str, Offer] = field(default_factory=dict)
@@ -108,9 +108,9 @@
         route: Route,
         service: Service,
         started: float,
-        kind: Kind,
-        patience: float,
-    ) -> "Trip":
+        kind: RouteStats,
+        objective_factor: float,
+    ) -> "RequestState":
         """Return the state of a request before its first attempt.
 
         Args:
@@ -119,7 +119,7 @@
             service: To which it goes.
             started: Clock seconds at which it came.
             kind: What is known of its kind.
-            patience: How many times its objective it may take.
+            objective_factor: How many times its objective it may take.
         """
         deadline = started + (route.timeout_ms or service.timeout_ms) / 1000.0
         if request.deadline is not None:
@@ -137,7 +137,7 @@
             long_ms=kind.usual.most_ms(LONG_SPREADS),
             slow_ms=service.judgement.slow_margin * kind.usual.most_ms(TAIL_SPREADS),
             lost_ms=kind.lost_ms,
-            patience=patience,
+            objective_factor=objective_factor,
             far_loss=service.far_loss_per_kb * size_kb,
         )
 
@@ -158,7 +158,7 @@
         objective_ms = self.route.target_latency_ms
         if objective_ms is None:
             return True
-        return self.lost_ms + self.usual_ms <= objective_ms * self.patience
+        return self.lost_ms + self.usual_ms <= objective_ms * self.objective_factor
 
     @property
     def expired(self) -> bool:
@@ -194,7 +194,7 @@
         left_ms = (self.deadline - now) * 1000.0 - self.usual_ms
         if objective_ms is not None and self.arrivals == 0:
             long_ms = self.long_ms or self._assumed_ms
-            aim_ms = objective_ms * self.patience - (now - self.started) * 1000.0 - long_ms
+            aim_ms = objective_ms * self.objective_factor - (now - self.started) * 1000.0 - long_ms
             left_ms = min(left_ms, aim_ms)
         return max(WAIT_LEAST_MS, left_ms)
 
@@ -246,7 +246,7 @@
             return False
         again = {Reason.UNREACHABLE}
         if self.route.repeatable and self.arrivals == 0:
-            again.add(Reason.SICK)
+            again.add(Reason.FAILING)
         names = {name for name, reason in self.refused.items() if reason in again}
         self.pressing = True
         self.tried -= names
--- a/roadpass/trip_log.py
+++ b/roadpass/trip_log.py
@@ -6,16 +6,16 @@
 from roadpass.message import Attempt, Reply
 from roadpass.outcome import Answered, NotRun, Outcome, Unknown
 from roadpass.request import Request
-from roadpass.trip import Trip
+from roadpass.trip import RequestState
 
 
 def log_attempt(
-    trip: Trip, target: Target, attempt: Attempt, reply: Reply, started: float, used: float
+    state: RequestState, target: Target, attempt: Attempt, reply: Reply, started: float, used: float
 ) -> None:
     """Log what became of one attempt.
 
     Args:
-        trip: Of the request.
+        state: Of the request.
         target: To which the attempt went.
         attempt: As it was sent.
         reply: What is known of its end, and of its target.
@@ -25,9 +25,9 @@
     decided(
         "dispatch",
         "attempt",
-        request=trip.request.id,
+        request=state.request.id,
         attempt=attempt.id,
-        route=trip.route.name,
+        route=state.route.name,
         target=target.name,
         target_vm=target.vm,
         revision=attempt.revision,
@@ -62,11 +62,11 @@
     )
 
 
-def log_end(trip: Trip, outcome: Outcome, started: float, *, has_repeat: bool) -> None:
+def log_end(state: RequestState, outcome: Outcome, started: float, *, has_repeat: bool) -> None:
     """Log what the caller is told.
 
     Args:
-        trip: Of the request.
+        state: Of the request.
         outcome: Its end.
         started: Clock seconds at which the request came.
         has_repeat: Whether this node believes that it may repeat a request of the service.
@@ -74,18 +74,18 @@
     decided(
         "dispatch",
         "ended",
-        request=trip.request.id,
-        route=trip.route.name,
-        service=trip.service.name,
-        caller=trip.request.caller,
-        fingerprint=trip.request.fingerprint,
-        traffic_class=trip.traffic_class,
+        request=state.request.id,
+        route=state.route.name,
+        service=state.service.name,
+        caller=state.request.caller,
+        fingerprint=state.request.fingerprint,
+        traffic_class=state.traffic_class,
         outcome=_name(outcome),
-        arrivals=trip.arrivals,
-        moves=trip.moves,
+        arrivals=state.arrivals,
+        moves=state.moves,
         has_repeat=has_repeat,
         ms=round((clock.now() - started) * 1000.0, 1),
-        left_ms=round((trip.deadline - clock.now()) * 1000.0, 1),
+        left_ms=round((state.deadline - clock.now()) * 1000.0, 1),
     )
 
 
--- a/tests/crowd.py
+++ b/tests/crowd.py
@@ -113,7 +113,7 @@
                 vm, 1, self.pause, pull=lambda message: message, behind=lambda vm, revision: None
             )
             self.has_news = False
-            self.sidecar.quarantine.on_news = self._note_news
+            self.sidecar.quarantine.on_change = self._note_news
             self.view = View(vm, hall, "region")
             self.configure(fleet)
             self.view.ready = True
@@ -348,7 +348,7 @@
                 continue
             for row in node.sidecar.quarantine.rows(now):
                 with self.world.acting(peer.process):
-                    peer.sidecar.quarantine.hear(now, row)
+                    peer.sidecar.quarantine.merge(now, row)
 
     def _comings(self) -> Iterable[tuple[float, str]]:
         for name, kind in self.load.kinds.items():
--- a/tests/fake_sidecar.py
+++ b/tests/fake_sidecar.py
@@ -8,7 +8,7 @@
 from roadpass.dispatch import Dispatcher
 from roadpass.fence import Verdict
 from roadpass.fleet import Fleet
-from roadpass.load import WORD_S
+from roadpass.load import OFFER_TTL_S
 from roadpass.message import Attempt, LoadReport, Reply
 from roadpass.outcome import NotRun, Outcome, Reason
 from roadpass.pause import PauseWatch
@@ -57,7 +57,7 @@
 
     def run(self, attempt: Attempt, age_s: float = 0.0, watch: CallerWatch | None = None) -> Reply:
         if attempt.may_wait:
-            time.sleep(1.5 * WORD_S)
+            time.sleep(1.5 * OFFER_TTL_S)
         return super().run(attempt, age_s, watch)
 
 
--- a/tests/test_crashed_target.py
+++ b/tests/test_crashed_target.py
@@ -14,7 +14,7 @@
 from roadpass.message import Attempt, Reply
 from roadpass.outcome import RETRY_SOON_MS, Answered, NotRun, Reason, Unknown
 from roadpass.pause import PauseWatch
-from roadpass.quarantine import ENDS
+from roadpass.quarantine import MIN_CRASHES
 from roadpass.sidecar import Sidecar
 
 HOST = "127.0.43.1"
@@ -87,7 +87,7 @@
             pull=lambda message: message,
             behind=lambda vm, revision: None,
         )
-        self.sidecar.quarantine.on_news = lambda: self.news.append("news")
+        self.sidecar.quarantine.on_change = lambda: self.news.append("news")
         self._number = 0
         self.configure()
 
@@ -163,7 +163,7 @@
 
 def doubted(bench: Bench, work: str) -> bool:
     """Tell whether a request is believed to be one that targets may end under."""
-    return bench.sidecar.quarantine.doubts(clock.now(), work)
+    return bench.sidecar.quarantine.is_suspect(clock.now(), work)
 
 
 def test_all_that_a_target_had_when_it_ended_is_noted(bench: Bench) -> None:
@@ -221,7 +221,7 @@
 
 def test_a_request_that_ends_its_targets_is_refused_at_the_door(bench: Bench) -> None:
     """Also for an ingress that does not know, which learns of it so."""
-    for _ in range(ENDS):
+    for _ in range(MIN_CRASHES):
         bench.run("/bad")
         bench.target.start()
         assert bench.answers("/good")
@@ -239,7 +239,7 @@
 def test_two_in_doubt_are_kept_apart_and_an_answer_ends_the_doubt(bench: Bench) -> None:
     """Beside one that is in no doubt each of them may run."""
     for work in ("/slow", "/other"):
-        bench.sidecar.quarantine.note_end(clock.now(), work, "elsewhere/1")
+        bench.sidecar.quarantine.record_crash(clock.now(), work, "elsewhere/1")
     beside = bench.begin("/slow")
     refused = bench.run("/good", work="/other")
     assert refused.outcome == NotRun(Reason.KEPT_APART, RETRY_SOON_MS)
--- a/tests/test_deadly.py
+++ b/tests/test_deadly.py
@@ -14,7 +14,7 @@
 from roadpass import clock
 from roadpass.message import Attempt, Reply
 from roadpass.outcome import RETRY_SOON_MS, Answered, NotRun, Outcome, Reason, Unknown
-from roadpass.quarantine import ENDS, Row
+from roadpass.quarantine import MIN_CRASHES, Row
 from roadpass.request import CallerWatch
 from tests.fake_sidecar import FakeSidecar, dispatcher, request
 from tests.test_sidecar import Bench, attempt, bench
@@ -28,7 +28,7 @@
 
 def ended_row() -> Row:
     """Return what nodes tell each other of a request under which enough targets ended."""
-    return [WORK, -1.0, [[f"target-{number}/1", 0.1] for number in range(ENDS)]]
+    return [WORK, -1.0, [[f"target-{number}/1", 0.1] for number in range(MIN_CRASHES)]]
 
 
 class Queue:
@@ -75,7 +75,7 @@
 def test_what_is_found_out_while_it_waits_keeps_it_from_its_turn(bench: Bench) -> None:
     """It came to the door before the third target ended, and its slot is free after that."""
     queue = Queue(bench)
-    bench.sidecar.quarantine.hear(clock.now(), ended_row())
+    bench.sidecar.quarantine.merge(clock.now(), ended_row())
     outcome = queue.outcome()
     assert isinstance(outcome, NotRun)
     assert outcome.reason is Reason.QUARANTINED
@@ -86,7 +86,7 @@
 def test_a_drained_target_sends_it_back_and_it_does_not_run_there(bench: Bench) -> None:
     """Nor anywhere else on this VM, whichever target it is sent to next."""
     queue = Queue(bench)
-    bench.sidecar.quarantine.hear(clock.now(), ended_row())
+    bench.sidecar.quarantine.merge(clock.now(), ended_row())
     bench.configure(revision=3, leaving=True)
     outcome = queue.outcome()
     assert isinstance(outcome, NotRun)
@@ -109,7 +109,7 @@
 
     def run(self, attempt: Attempt, age_s: float = 0.0, watch: CallerWatch | None = None) -> Reply:
         if len(self.attempts) + 1 == self._sent_back_as:
-            self.quarantine.hear(clock.now(), ended_row())
+            self.quarantine.merge(clock.now(), ended_row())
         return super().run(attempt, age_s, watch)
 
 
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -92,7 +92,7 @@
 
 def test_refusals_before_a_target_cost_no_budget_and_try_each_target_once() -> None:
     """A request that was refused at every door has reached no target."""
-    sidecar = FakeSidecar([NotRun(Reason.SICK)] * 1000)
+    sidecar = FakeSidecar([NotRun(Reason.FAILING)] * 1000)
     one = dispatcher(sidecar, retry_ratio=0.0)
     outcome = one.dispatch(request("POST")).outcome
     assert isinstance(outcome, NotRun)
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -102,7 +102,7 @@
     """At once, in every datagram; what is heard is counted with what was seen here."""
     quarantine = Quarantine()
     ref = start(Metrics(), [], quarantine=quarantine, address="127.0.41.3")
-    quarantine.on_news = lambda: ref.tell(CrashNews())
+    quarantine.on_change = lambda: ref.tell(CrashNews())
     ref.tell(Begin())
     ref.proxy().agreeing_peers.get()  # answered once the socket is bound and read
     peer = Member("vm-9", 1, MemberState.ALIVE, "127.0.41.9", 8081, 8082, "hall", "region")
@@ -110,14 +110,14 @@
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
         sock.bind((peer.address, peer.gossip_port))
         sock.settimeout(LIMIT_S)
-        quarantine.note_end(clock.now(), "work", "target-1/1")
+        quarantine.record_crash(clock.now(), "work", "target-1/1")
         told = (unpack(sock.recv(2048)).get("crashes", []) for _ in range(DATAGRAMS))
         assert next(filter(None, told), [[None]])[0][0] == "work"
         for number in (2, 3):
             row = ["work", -1.0, [[f"target-{number}/1", 0.5]]]
             content = pack({**unpack(datagram("vm-9")), "crashes": [row]})
             sock.sendto(content, ("127.0.41.3", PORTS.gossip))
-        assert eventually(lambda: quarantine.held_s(clock.now(), "work") > 0.0)
+        assert eventually(lambda: quarantine.quarantined_s(clock.now(), "work") > 0.0)
     ref.stop()
 
 
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -1,6 +1,14 @@
 """Beliefs of the targets' load: cut ways are asked later and later, until a word comes."""
 
-from roadpass.load import AVOIDED, CUT_GROWTH, CUT_MAX_S, CUT_S, FAR_WORD_S, WORD_S, LoadTable
+from roadpass.load import (
+    AVOIDED,
+    CUT_GROWTH,
+    CUT_MAX_S,
+    CUT_S,
+    FAR_OFFER_TTL_MAX_S,
+    OFFER_TTL_S,
+    LoadTable,
+)
 
 
 def test_a_cut_way_is_asked_later_and_later() -> None:
@@ -45,10 +53,10 @@
     loads.note_word(0.0, "soon", 0.2, 10.0, far=True, last=True)
     loads.note_word(0.0, "later", 0.2, 300.0, far=True, last=True)
     loads.note_word(0.0, "sure", 0.1, 0.0, far=True, last=True)
-    assert [name for name, _ in loads.words(WORD_S / 2)] == ["near", "far", "soon", "later"]
-    assert [name for name, _ in loads.words(2 * WORD_S)] == ["far", "soon", "later"]
+    assert [name for name, _ in loads.words(OFFER_TTL_S / 2)] == ["near", "far", "soon", "later"]
+    assert [name for name, _ in loads.words(2 * OFFER_TTL_S)] == ["far", "soon", "later"]
     assert [(name, said.bad) for name, said in loads.words(0.25)] == [("later", 0.2)]
-    assert loads.words(FAR_WORD_S) == []
+    assert loads.words(FAR_OFFER_TTL_MAX_S) == []
     loads.note_word(1.0, "near", 0.0, 90.0, far=False, last=True)
     loads.forget_word("near")
     assert loads.words(1.0) == []
--- a/tests/test_peer_positions.py
+++ b/tests/test_peer_positions.py
@@ -6,7 +6,7 @@
 from roadpass.news import PeerPosition
 from roadpass.peer_positions import PeerPositions
 from roadpass.position import Position
-from roadpass.unanswered import FORGET_S, HOLD_S, Unanswered
+from roadpass.unanswered import BACKOFF_S, FORGET_S, PeerBackoff
 
 VMS = [f"vm-{number}" for number in range(4)]
 
@@ -39,14 +39,14 @@
     assert peers.best(10.0, Position(0, 4)) == holds("vm-0", 5)
     peers.did_not_answer("vm-0", 10.5)
     assert peers.best(10.6, Position(0, 4)) is None
-    assert peers.best(10.0 + HOLD_S, Position(0, 4)) == holds("vm-1", 6)
+    assert peers.best(10.0 + BACKOFF_S, Position(0, 4)) == holds("vm-1", 6)
     peers.did_not_answer("vm-1", 11.0)
-    assert peers.best(11.0 + HOLD_S, Position(0, 4)) == holds("vm-0", 5)
-    assert peers.best(11.0 + 2.0 * HOLD_S, Position(0, 4)) == holds("vm-0", 5), (
+    assert peers.best(11.0 + BACKOFF_S, Position(0, 4)) == holds("vm-0", 5)
+    assert peers.best(11.0 + 2.0 * BACKOFF_S, Position(0, 4)) == holds("vm-0", 5), (
         "it was silent less often"
     )
     peers.answered("vm-0")
-    assert peers.best(11.0 + 2.0 * HOLD_S, Position(0, 4)) == holds("vm-1", 6)
+    assert peers.best(11.0 + 2.0 * BACKOFF_S, Position(0, 4)) == holds("vm-1", 6)
 
 
 def test_a_near_one_comes_before_a_far_one_unless_it_was_silent() -> None:
@@ -127,16 +127,16 @@
 ) -> bool:
     """Tell whether a peer is left alone: 1, 2, 4, 8 s after its latest silence."""
     since = [at for one, at in silent if one == vm and at > answers.get(vm, -1.0)]
-    return bool(since) and now < since[-1] + min(8.0, HOLD_S * 2.0 ** (len(since) - 1))
+    return bool(since) and now < since[-1] + min(8.0, BACKOFF_S * 2.0 ** (len(since) - 1))
 
 
 def test_silences_are_forgotten_when_they_are_over() -> None:
     """What is kept is bounded by who was silent lately."""
-    unanswered = Unanswered()
+    unanswered = PeerBackoff()
     for number in range(200):
-        unanswered.note(number, float(number) * HOLD_S)
-    assert unanswered.holds(199, 199.5 * HOLD_S)
-    assert not unanswered.holds(198, 199.5 * HOLD_S)
-    assert unanswered.times(198) == 1
-    assert unanswered.times(150) == 0
-    assert len(unanswered._silences) <= FORGET_S / HOLD_S + 2
+        unanswered.record_failure(number, float(number) * BACKOFF_S)
+    assert unanswered.avoids(199, 199.5 * BACKOFF_S)
+    assert not unanswered.avoids(198, 199.5 * BACKOFF_S)
+    assert unanswered.failures(198) == 1
+    assert unanswered.failures(150) == 0
+    assert len(unanswered._failures) <= FORGET_S / BACKOFF_S + 2
--- a/tests/test_quarantined_request.py
+++ b/tests/test_quarantined_request.py
@@ -3,11 +3,11 @@
 from roadpass import clock
 from roadpass.message import Reply
 from roadpass.outcome import Answered, NotRun, Reason, Unknown
-from roadpass.quarantine import ENDS, HOLD_S
+from roadpass.quarantine import HOLD_S, MIN_CRASHES
 from tests.fake_sidecar import FakeSidecar, dispatcher, request
 
 WORK = "work"
-ENDED = [[f"target-{number}/1", 0.1] for number in range(ENDS)]
+ENDED = [[f"target-{number}/1", 0.1] for number in range(MIN_CRASHES)]
 ROW = [WORK, -1.0, ENDED]
 LOST = Unknown(Reason.TARGET_LOST)
 
@@ -16,7 +16,7 @@
     """No target is asked; another request is served."""
     sidecar = FakeSidecar([Answered(200, [], b"ok")])
     one = dispatcher(sidecar)
-    sidecar.quarantine.hear(clock.now(), ROW)
+    sidecar.quarantine.merge(clock.now(), ROW)
     outcome = one.dispatch(request("GET", fingerprint=WORK)).outcome
     assert isinstance(outcome, NotRun)
     assert outcome.reason is Reason.QUARANTINED
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -19,25 +19,25 @@
     """A moment of losses gets the slack, and then what its traffic earns."""
     one = allowance()
     for _ in range(int(SLACK)):
-        assert one.has_one(0.0)
-        one.arrive(0.0, repeat=True)
-    assert not one.has_one(0.0)
+        assert one.has_repeat_left(0.0)
+        one.record_arrival(0.0, repeat=True)
+    assert not one.has_repeat_left(0.0)
     for _ in range(5):
-        one.arrive(5.0, repeat=False)
-    assert one.has_one(5.0)
-    one.arrive(5.0, repeat=True)
-    assert not one.has_one(WINDOW_S - 0.1)
-    assert one.has_one(WINDOW_S + 0.1)
+        one.record_arrival(5.0, repeat=False)
+    assert one.has_repeat_left(5.0)
+    one.record_arrival(5.0, repeat=True)
+    assert not one.has_repeat_left(WINDOW_S - 0.1)
+    assert one.has_repeat_left(WINDOW_S + 0.1)
 
 
 def test_a_moment_of_losses_has_the_repeats_of_the_quiet_while_before_it() -> None:
     """All that the window's first arrivals earn, not only what a bucket would have held."""
     one = allowance()
     for number in range(40):
-        one.arrive(0.2 * number, repeat=False)
+        one.record_arrival(0.2 * number, repeat=False)
     given = 0
-    while one.has_one(8.0):
-        one.arrive(8.0, repeat=True)
+    while one.has_repeat_left(8.0):
+        one.record_arrival(8.0, repeat=True)
         given += 1
     assert given == RATIO * 40 + SLACK
 
@@ -46,18 +46,18 @@
     """A smaller fleet does not bring it back."""
     one = allowance()
     for _ in range(int(SLACK)):
-        one.arrive(0.0, repeat=True)
+        one.record_arrival(0.0, repeat=True)
     one.configure(RATIO, slack=SLACK, window_s=2 * WINDOW_S)
-    assert not one.has_one(1.5 * WINDOW_S)
+    assert not one.has_repeat_left(1.5 * WINDOW_S)
     one.configure(RATIO, slack=2 * SLACK, window_s=2 * WINDOW_S)
-    assert one.has_one(1.5 * WINDOW_S)
+    assert one.has_repeat_left(1.5 * WINDOW_S)
 
 
 def test_what_is_kept_is_bounded_by_a_window() -> None:
     """However long it lives, and whether or not anybody asks."""
     one = allowance()
     for number in range(10_000):
-        one.arrive(0.1 * number, repeat=number % 7 == 0)
+        one.record_arrival(0.1 * number, repeat=number % 7 == 0)
     assert len(one._firsts) + len(one._repeats) <= 101
 
 
@@ -70,9 +70,9 @@
     arrivals: list[tuple[float, bool]] = []
     for wait_s, repeat in steps:
         now += wait_s
-        if repeat and not one.has_one(now):
+        if repeat and not one.has_repeat_left(now):
             continue
-        one.arrive(now, repeat=repeat)
+        one.record_arrival(now, repeat=repeat)
         arrivals.append((now, repeat))
     for end, _ in arrivals:
         window = [repeat for at, repeat in arrivals if end - WINDOW_S < at <= end]
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -310,8 +310,8 @@
     with caplog.at_level("INFO", logger="roadpass.sidecar"):
         now = clock.now()
         local._door.end(now, local._door.begin(now, "r"), End.LOST)
-        assert reason(bench, attempt(1)) is Reason.SICK
-        assert reason(bench, attempt(2)) is Reason.SICK
+        assert reason(bench, attempt(1)) is Reason.FAILING
+        assert reason(bench, attempt(2)) is Reason.FAILING
         for _ in range(2):
             local._door.end(now, local._door.begin(now, "r"), End.ANSWERED)
         assert reason(bench, attempt(3)) is None
@@ -358,7 +358,7 @@
         assert reason(bench, attempt(number)) is None
     threads = occupy(bench, 2)
     time.sleep(0.2)
-    assert reason(bench, attempt(30)) is Reason.SICK
+    assert reason(bench, attempt(30)) is Reason.FAILING
     for thread in threads:
         thread.join()
     assert bench.state.begun["vm-2/1/30"] == 0
--- a/tests/test_trip.py
+++ b/tests/test_trip.py
@@ -5,12 +5,12 @@
 from roadpass import clock
 from roadpass.balance import Candidate
 from roadpass.fleet import Fleet
-from roadpass.kind import Kind
-from roadpass.load import WORD_S
+from roadpass.kind import RouteStats
+from roadpass.load import OFFER_TTL_S
 from roadpass.message import LoadReport, Reply
 from roadpass.offer import Offer
 from roadpass.outcome import RETRY_SOON_MS, Answered, NotRun, Outcome, Reason, Unknown
-from roadpass.trip import GIVE_UP_SHARE, SPARE_BAD, WANTED_BAD, Trip
+from roadpass.trip import GIVE_UP_SHARE, SPARE_BAD, WANTED_BAD, RequestState
 from roadpass.view import ServiceView
 from tests.fake_sidecar import (
     FakeSidecar,
@@ -49,7 +49,7 @@
 def test_when_all_targets_fail_only_what_may_repeat_presses() -> None:
     """A failing one may run it and lose the answer."""
     for method, asked in (("POST", 4), ("GET", 5)):
-        failing = [NotRun(Reason.SICK)] * 4
+        failing = [NotRun(Reason.FAILING)] * 4
         sidecar = FakeSidecar([*failing, Answered(200, [], b"ok")])
         dispatcher(sidecar).dispatch(request(method))
         assert len(sidecar.attempts) == asked
@@ -121,7 +121,7 @@
 
 def test_what_may_not_be_repeated_for_want_of_budget_is_no_trial() -> None:
     """Lost in a trial it would be lost for good; pressing it goes all the same."""
-    sidecar = FakeSidecar([NotRun(Reason.SICK)] * 4)
+    sidecar = FakeSidecar([NotRun(Reason.FAILING)] * 4)
     one = dispatcher(sidecar, retry_ratio=0.0)
     one._budget(one._view.fleet.services["s"]).take()
     one.dispatch(request("GET"))
@@ -167,24 +167,24 @@
     assert GIVE_UP_SHARE <= took_s < 0.5
 
 
-def trip(*, size_kb: float = 5.0) -> Trip:
+def trip(*, size_kb: float = 5.0) -> RequestState:
     """Return a request that must not repeat, with an objective of 800 ms, before any attempt."""
     made = fleet()
     route = made.routes["post"]._replace(target_latency_ms=800)
-    kind = Kind(size_kb=size_kb)
+    kind = RouteStats(size_kb=size_kb)
     now = clock.now()
-    return Trip.begin(request("POST"), route, made.services["s"], now, kind, 1.0)
+    return RequestState.begin(request("POST"), route, made.services["s"], now, kind, 1.0)
 
 
 def test_a_long_request_still_waits_for_a_slot_while_most_of_its_kind_would_be_in_time() -> None:
     """Refused after a few milliseconds, it left slots free that it would have had in a moment."""
     made = fleet()
     route = made.routes["post"]._replace(target_latency_ms=800)
-    kind = Kind()
+    kind = RouteStats()
     for took_ms in (100.0, 150.0, 200.0, 250.0, 400.0, 700.0) * 5:
         kind.usual.add(took_ms)
     now = clock.now()
-    begun = Trip.begin(request("POST"), route, made.services["s"], now, kind, 1.0)
+    begun = RequestState.begin(request("POST"), route, made.services["s"], now, kind, 1.0)
     assert 300.0 < begun.most_wait_ms() < 500.0
     begun.started -= 0.7
     assert begun.most_wait_ms() < 50.0
@@ -223,18 +223,18 @@
     nothing_near = dict.fromkeys(("t0", "t1", "t2", "t3"), 1)
     assert large_request(nothing_near, [*busy, answer]) == answer
     one_near = {**nothing_near, "t0": 0}
-    refused = large_request(one_near, [NotRun(Reason.SICK), *busy, answer])
+    refused = large_request(one_near, [NotRun(Reason.FAILING), *busy, answer])
     assert isinstance(refused, NotRun)
 
 
 def test_what_is_slow_is_measured_by_the_kind_of_a_request() -> None:
     """The others' requests may be short ones."""
     made = fleet()
-    kind = Kind()
+    kind = RouteStats()
     for _ in range(40):
         kind.usual.add(200.0)
     service = made.services["s"]
-    begun = Trip.begin(request("POST"), made.routes["post"], service, 0.0, kind, 1.0)
+    begun = RequestState.begin(request("POST"), made.routes["post"], service, 0.0, kind, 1.0)
     assert 200.0 < begun.slow_ms / service.judgement.slow_margin < 400.0
 
 
@@ -262,6 +262,6 @@
     sidecar.script[:] = [NotRun(Reason.BUSY, 1200)] * 9
     assert one.dispatch(request("POST")).outcome == NotRun(Reason.BUSY, 1200)
     sidecar.script[:] = [*[NotRun(Reason.BUSY, 1200)] * 4, Answered(200, [], b"", 40.0)]
-    time.sleep(2.0 * WORD_S)
+    time.sleep(2.0 * OFFER_TTL_S)
     outcome = one.dispatch(request("POST")._replace(path="/quick")).outcome
     assert isinstance(outcome, Answered)
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -71,14 +71,14 @@
     Mechanism(
         "peers that do not answer are left alone by the reader",
         "roadpass/peer_positions.py",
-        "if not self._unanswered.holds(vm, now)]",
+        "if not self._unanswered.avoids(vm, now)]",
         "]",
         "tests/test_store_reader.py",
     ),
     Mechanism(
         "peers that do not answer are left alone by the puller",
         "roadpass/reader.py",
-        "if self._unanswered.holds(news.address, now):",
+        "if self._unanswered.avoids(news.address, now):",
         "if False:",
         "tests/test_reader.py",
     ),
--- a/tools/mechanisms_of_service.py
+++ b/tools/mechanisms_of_service.py
@@ -55,8 +55,8 @@
     Mechanism(
         "short requests may come later",
         "roadpass/trip.py",
-        "            patience=patience,\n",
-        "            patience=1.0,\n",
+        "            objective_factor=objective_factor,\n",
+        "            objective_factor=1.0,\n",
         "tests/test_trip.py",
     ),
     Mechanism(
@@ -83,7 +83,7 @@
     Mechanism(
         "slow is measured by the kind of a request",
         "roadpass/dispatch.py",
-        "            slow_ms = max(slow_ms, trip.slow_ms)\n",
+        "            slow_ms = max(slow_ms, state.slow_ms)\n",
         "            pass\n",
         "tests/test_dispatch.py",
     ),
@@ -108,7 +108,7 @@
     Mechanism(
         "three targets that ended under a request keep it from others",
         "roadpass/quarantine.py",
-        "if self.count >= ENDS else 0.0",
+        "if self.count >= MIN_CRASHES else 0.0",
         "if self.count < 0 else 0.0",
         "tests/test_crashing.py",
     ),
@@ -143,7 +143,7 @@
     Mechanism(
         "a door tells of a request under which targets ended",
         "roadpass/learning.py",
-        "            self._quarantine.hear(now, reply.crash)\n",
+        "            self._quarantine.merge(now, reply.crash)\n",
         "            pass\n",
         "tests/test_quarantined_request.py",
     ),
