--- a/roadpass/crash_guard.py
+++ b/roadpass/crash_guard.py
@@ -1,4 +1,4 @@
-"""Beside one target: sees under which requests it ends, and keeps those from it that may end it."""
+"""Detects crashes of one target, and keeps requests from it that may crash it."""
 
 import threading
 from collections import deque
@@ -10,35 +10,35 @@
 from roadpass.quarantine import Quarantine
 from roadpass.target_end import TargetEnd
 
-LATELY_S = 1.0
-"""Seconds for which a request that was broken off counts as there when its target ends: targets may
-work on after its connection is closed."""
-MAX_LATELY = 16
-"""Requests that were broken off lately; a target works on fewer at a time."""
+ABORTED_TTL_S = 1.0
+"""Seconds for which an aborted request still counts as present at a crash of its target, which may
+keep working on it after the connection is closed."""
+MAX_ABORTED = 16
+"""Recently aborted requests that are remembered; a target processes fewer at a time."""
 
 
 class CrashGuard:
-    """Notes what a target has, and under what it ended; any thread may use it.
+    """Tracks the requests at a target, and records those present at a crash; thread-safe.
 
     Args:
         target: Its name.
-        quarantine: What the node knows of requests under which targets ended.
-        gone: Looks whether the target's process has ended.
+        quarantine: Crash records of this node.
+        gone: Checks whether the target's process has ended.
     """
 
     def __init__(self, target: str, quarantine: Quarantine, gone: Callable[[], bool]) -> None:
         self._quarantine = quarantine
         self._gone = gone
         self._end = TargetEnd(target)
-        self._work: dict[str, str] = {}
-        self._lately: deque[tuple[float, str]] = deque(maxlen=MAX_LATELY)
+        self._in_flight: dict[str, str] = {}
+        self._aborted: deque[tuple[float, str]] = deque(maxlen=MAX_ABORTED)
         self._lock = threading.Lock()
 
     def refusal_while_down(self) -> NotRun | None:
-        """Return why nothing is sent to a target that has ended, until it is seen to be back.
+        """Return the refusal for a target whose process has ended, `None` once it is back.
 
-        Its entry stays for seconds: of 284 losses in 5 s of targets that ended under requests, 225
-        were sent there after the end.
+        The target stays in the configuration for seconds after its end: of 284 requests lost in 5 s
+        at crashing targets, 225 were sent there after the crash.
         """
         if not self._end.seen:
             return None
@@ -47,10 +47,10 @@
         return NotRun(Reason.REFUSED, RETRY_SOON_MS) if lasts else None
 
     def refusal(self, attempt: Attempt) -> NotRun | None:
-        """Return why a request does not reach the target, `None` if it may.
+        """Return why a request is not sent to the target, `None` if it may be.
 
-        Two in doubt are kept apart: both are there when a target ends, and apart the innocent one
-        is answered at its next try, which ends the doubt.
+        Two suspect requests are kept apart. Together, both would be present at the next crash;
+        apart, the innocent one is answered at its next attempt, which clears it.
         """
         now = clock.now()
         quarantined_s = self._quarantine.quarantined_s(now, attempt.fingerprint)
@@ -58,51 +58,53 @@
             return NotRun(Reason.QUARANTINED, int(quarantined_s * 1000.0))
         if not self._quarantine.is_suspect(now, attempt.fingerprint):
             return None
-        others = set(self._work.copy().values()) - {attempt.fingerprint}
+        others = set(self._in_flight.copy().values()) - {attempt.fingerprint}
         if any(self._quarantine.is_suspect(now, other) for other in others):
             return NotRun(Reason.KEPT_APART, RETRY_SOON_MS)
         return None
 
     def begin(self, attempt: Attempt) -> None:
-        """Note that the target gets a request."""
-        self._work[attempt.id] = attempt.fingerprint
+        """Record that the target receives a request."""
+        self._in_flight[attempt.id] = attempt.fingerprint
 
     def finish(self, attempt: Attempt, *, aborted: bool) -> None:
-        """Note that a request is over, or that nobody waits for it any more."""
-        del self._work[attempt.id]
+        """Record that a request has ended, or was aborted because nobody waits for it any more."""
+        del self._in_flight[attempt.id]
         if aborted:
-            self._lately.append((clock.now(), attempt.fingerprint))
+            self._aborted.append((clock.now(), attempt.fingerprint))
 
     def answered(self, attempt: Attempt) -> None:
-        """Note that the target answered a request, and lives."""
+        """Record that the target answered a request and so did not crash."""
         self._quarantine.record_answer(clock.now(), attempt.fingerprint)
 
     def detect_crash(self, attempt: Attempt, *, leaving: bool) -> bool:
-        """Find out whether a target that lost a request has ended, and note what it had.
+        """Check whether a target that lost a request has ended; if so, record the crash.
 
         Args:
             attempt: Which was lost.
-            leaving: Whether the target is to end, whatever it has.
+            leaving: Whether the target is meant to end, so that this is no crash.
 
         Returns:
-            Whether it has ended.
+            Whether its process has ended.
         """
         if not self._gone():
             return False
-        self._note_end([attempt.fingerprint], leaving=leaving)
+        self._record_crash([attempt.fingerprint], leaving=leaving)
         return True
 
     def record_refused_connection(self, *, leaving: bool) -> None:
-        """Note that the target, which had ended, took no connection; see `lost`."""
-        self._note_end([], leaving=leaving)
+        """Record that the target's process had ended when it refused a connection."""
+        self._record_crash([], leaving=leaving)
 
-    def _note_end(self, had: list[str], *, leaving: bool) -> None:
+    def _record_crash(self, lost: list[str], *, leaving: bool) -> None:
         now = clock.now()
         with self._lock:
-            end = self._end.note(now)
-            lately = [work for at, work in self._lately if now - at <= LATELY_S]
-            self._lately.clear()
+            crash = self._end.note(now)
+            aborted = [
+                fingerprint for at, fingerprint in self._aborted if now - at <= ABORTED_TTL_S
+            ]
+            self._aborted.clear()
         if leaving:
             return
-        for work in (*had, *lately):
-            self._quarantine.record_crash(now, work, end)
+        for fingerprint in (*lost, *aborted):
+            self._quarantine.record_crash(now, fingerprint, crash)
--- a/tests/test_crashed_target.py
+++ b/tests/test_crashed_target.py
@@ -1,4 +1,4 @@
-"""A sidecar before a real target whose process ends: what is noted, and what is not sent there."""
+"""A sidecar with a real target that crashes: which requests are recorded, and which refused."""
 
 import contextlib
 import json
@@ -19,28 +19,28 @@
 
 HOST = "127.0.43.1"
 WAIT_S = 5.0
-"""Seconds until a test gives up waiting for something that should be there at once."""
+"""Seconds after which a test gives up waiting for something that should happen at once."""
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 
-class MortalTarget:
-    """Answers `/good` and `/slow`, resets `/reset`, and ends under `/bad` with all that it has."""
+class CrashingTarget:
+    """Answers `/good` and `/slow`, resets `/reset`, and ends with all its connections on `/bad`."""
 
     def __init__(self) -> None:
         self.heads: list[bytes] = []
-        self.freed = threading.Event()
+        self.released = threading.Event()
         self.port = 0
         self.start()
 
     def start(self) -> None:
-        """Listen, at the same port every time."""
+        """Listen on the same port every time."""
         self._open: list[socket.socket] = []
         self._listener = socket.create_server((HOST, self.port))
         self.port = self._listener.getsockname()[1]
         threading.Thread(target=self._accept, args=(self._listener,), daemon=True).start()
 
     def end(self) -> None:
-        """End, as a process does that is killed: its listener first."""
+        """End like a killed process: the listening socket closes first."""
         self._listener.shutdown(socket.SHUT_RDWR)
         self._listener.close()
         for sock in self._open:
@@ -66,7 +66,7 @@
                 elif b" /reset " in head:
                     sock.shutdown(socket.SHUT_RDWR)
                 elif b" /slow " in head:
-                    self.freed.wait(WAIT_S)
+                    self.released.wait(WAIT_S)
                     sock.sendall(ANSWER)
                 else:
                     sock.sendall(ANSWER)
@@ -75,11 +75,11 @@
 
 
 class Bench:
-    """A sidecar and its target."""
+    """A sidecar with its target."""
 
     def __init__(self) -> None:
-        self.target = MortalTarget()
-        self.news: list[str] = []
+        self.target = CrashingTarget()
+        self.changes: list[str] = []
         self.sidecar = Sidecar(
             "vm-1",
             1,
@@ -87,12 +87,12 @@
             pull=lambda message: message,
             behind=lambda vm, revision: None,
         )
-        self.sidecar.quarantine.on_change = lambda: self.news.append("news")
+        self.sidecar.quarantine.on_change = lambda: self.changes.append("changes")
         self._number = 0
         self.configure()
 
     def configure(self, *, leaving: bool = False) -> None:
-        """Put a fleet of one target in force."""
+        """Apply a configuration with one target."""
         target = {
             "service": "s",
             "vm": "vm-1",
@@ -108,7 +108,7 @@
         documents = [("all", json.dumps(value))]
         self.sidecar.configure(Fleet.from_documents(documents, revision=2, digest="d"))
 
-    def run(self, path: str, work: str = "", remaining_ms: float = 2000.0) -> Reply:
+    def run(self, path: str, fingerprint: str = "", remaining_ms: float = 2000.0) -> Reply:
         """Run one attempt; its fingerprint is its path unless another is given."""
         self._number += 1
         one = Attempt(
@@ -127,12 +127,12 @@
             revision=2,
             slow_ms=0.0,
             pressing=True,
-            fingerprint=work or path,
+            fingerprint=fingerprint or path,
         )
         return self.sidecar.run(one)
 
     def begin(self, path: str) -> threading.Thread:
-        """Have the target work on an attempt."""
+        """Start an attempt and wait until the target works on it."""
         before = len(self.target.heads)
         thread = threading.Thread(target=self.run, args=(path,), daemon=True)
         thread.start()
@@ -143,7 +143,7 @@
         return thread
 
     def answers(self, path: str) -> bool:
-        """Wait until an attempt is answered."""
+        """Repeat attempts until one is answered; return False after `WAIT_S`."""
         until = clock.now() + WAIT_S
         while clock.now() < until:
             if isinstance(self.run(path).outcome, Answered):
@@ -154,62 +154,66 @@
 
 @pytest.fixture
 def bench() -> Iterator[Bench]:
-    """Start a target."""
+    """Start a sidecar with a target."""
     made = Bench()
     yield made
-    made.target.freed.set()
+    made.target.released.set()
     made.target.end()
 
 
-def doubted(bench: Bench, work: str) -> bool:
-    """Tell whether a request is believed to be one that targets may end under."""
-    return bench.sidecar.quarantine.is_suspect(clock.now(), work)
+def suspect(bench: Bench, fingerprint: str) -> bool:
+    """Tell whether a request is suspected of crashing targets."""
+    return bench.sidecar.quarantine.is_suspect(clock.now(), fingerprint)
 
 
-def test_all_that_a_target_had_when_it_ended_is_noted(bench: Bench) -> None:
-    """And what it had answered before is not; the ingress and the others are told."""
+def test_all_requests_of_a_target_at_its_crash_are_recorded(bench: Bench) -> None:
+    """Not those that it had answered; the ingress and the other nodes are notified."""
     bench.run("/good")
-    beside = bench.begin("/slow")
+    other = bench.begin("/slow")
     reply = bench.run("/bad")
-    beside.join(WAIT_S)
+    other.join(WAIT_S)
     assert reply.outcome == Unknown(Reason.TARGET_LOST)
     assert reply.crash is not None
     assert reply.crash[0] == "/bad"
-    assert [doubted(bench, work) for work in ("/bad", "/slow", "/good")] == [True, True, False]
-    assert len(bench.news) == 2
+    assert [suspect(bench, fingerprint) for fingerprint in ("/bad", "/slow", "/good")] == [
+        True,
+        True,
+        False,
+    ]
+    assert len(bench.changes) == 2
     bench.target.start()
 
 
-def test_what_was_broken_off_just_before_the_end_is_noted_too(bench: Bench) -> None:
-    """The target may have worked on it, and nothing else was there."""
+def test_a_request_aborted_just_before_the_crash_is_recorded(bench: Bench) -> None:
+    """The target may still have worked on it, and had no other request."""
     assert bench.run("/slow", remaining_ms=200.0).outcome == Unknown(Reason.TIMEOUT)
     bench.target.end()
     assert isinstance(bench.run("/good").outcome, NotRun)
-    assert doubted(bench, "/slow")
-    assert not doubted(bench, "/good")
+    assert suspect(bench, "/slow")
+    assert not suspect(bench, "/good")
     bench.target.start()
 
 
-def test_a_reset_is_no_end(bench: Bench) -> None:
-    """The target takes connections as before."""
+def test_a_connection_reset_is_no_crash(bench: Bench) -> None:
+    """The target accepts connections as before."""
     reply = bench.run("/reset")
     assert reply.outcome == Unknown(Reason.TARGET_LOST)
-    assert not doubted(bench, "/reset")
+    assert not suspect(bench, "/reset")
     assert reply.crash is None
 
 
-def test_a_target_that_leaves_ends_by_itself(bench: Bench) -> None:
-    """Whatever it still had is in no doubt."""
-    beside = bench.begin("/slow")
+def test_the_end_of_a_leaving_target_is_no_crash(bench: Bench) -> None:
+    """Its remaining requests are not suspected."""
+    other = bench.begin("/slow")
     bench.configure(leaving=True)
     bench.target.end()
-    beside.join(WAIT_S)
-    assert not doubted(bench, "/slow")
+    other.join(WAIT_S)
+    assert not suspect(bench, "/slow")
     bench.target.start()
 
 
-def test_nothing_is_sent_to_a_target_that_has_ended_until_it_is_back(bench: Bench) -> None:
-    """It is refused as not run, without a try; the first that comes then is taken."""
+def test_nothing_is_sent_to_a_crashed_target_until_it_is_back(bench: Bench) -> None:
+    """Requests are refused as not run without an attempt; the first one after its return runs."""
     bench.run("/bad")
     arrived = len(bench.target.heads)
     for _ in range(5):
@@ -219,13 +223,13 @@
     assert len(bench.target.heads) > arrived
 
 
-def test_a_request_that_ends_its_targets_is_refused_at_the_door(bench: Bench) -> None:
-    """Also for an ingress that does not know, which learns of it so."""
+def test_a_request_that_crashes_its_targets_is_refused_by_the_sidecar(bench: Bench) -> None:
+    """Also for an ingress that does not know it yet; the reply tells it."""
     for _ in range(MIN_CRASHES):
         bench.run("/bad")
         bench.target.start()
         assert bench.answers("/good")
-        time.sleep(1.05)  # seconds; what is lost sooner belongs to the same end
+        time.sleep(1.05)  # seconds; a loss before that belongs to the same crash
     arrived = len(bench.target.heads)
     reply = bench.run("/bad")
     assert isinstance(reply.outcome, NotRun)
@@ -236,16 +240,16 @@
     assert isinstance(bench.run("/good").outcome, Answered)
 
 
-def test_two_in_doubt_are_kept_apart_and_an_answer_ends_the_doubt(bench: Bench) -> None:
-    """Beside one that is in no doubt each of them may run."""
-    for work in ("/slow", "/other"):
-        bench.sidecar.quarantine.record_crash(clock.now(), work, "elsewhere/1")
-    beside = bench.begin("/slow")
-    refused = bench.run("/good", work="/other")
+def test_two_suspect_requests_are_kept_apart_and_an_answer_clears_one(bench: Bench) -> None:
+    """Each of them may run together with a request that is not suspected."""
+    for fingerprint in ("/slow", "/other"):
+        bench.sidecar.quarantine.record_crash(clock.now(), fingerprint, "elsewhere/1")
+    other = bench.begin("/slow")
+    refused = bench.run("/good", fingerprint="/other")
     assert refused.outcome == NotRun(Reason.KEPT_APART, RETRY_SOON_MS)
     assert isinstance(bench.run("/good").outcome, Answered)
-    bench.target.freed.set()
-    beside.join(WAIT_S)
-    assert not doubted(bench, "/slow")
-    assert isinstance(bench.run("/good", work="/other").outcome, Answered)
-    assert not doubted(bench, "/other")
+    bench.target.released.set()
+    other.join(WAIT_S)
+    assert not suspect(bench, "/slow")
+    assert isinstance(bench.run("/good", fingerprint="/other").outcome, Answered)
+    assert not suspect(bench, "/other")
