--- a/roadpass/decision.py
+++ b/roadpass/decision.py
@@ -1,4 +1,4 @@
-"""Decision logs: what a part decided, for which request, and on which inputs."""
+"""Structured decision logs: what a component decided, for which request, and from which inputs."""
 
 import functools
 import logging
@@ -9,15 +9,15 @@
 def decided(part: str, what: str, *, request: str = "", **inputs: object) -> None:
     """Log a decision as one structured line, at level info.
 
-    It costs next to nothing while the level is off. The keys `at`, `mono`, `level`, `part`, `what`
-    and `request` belong to the line itself: an input of such a name is not written.
+    It costs next to nothing while the level is disabled. The keys `at`, `mono`, `level`, `part`,
+    `what` and `request` belong to the line itself: an input with such a name is not logged.
 
     Args:
-        part: Who decided; the logger is `roadpass.<part>`.
-        what: What was decided, in few words.
-        request: Id of the request that it was about, if any.
-        inputs: What it rested on. Beliefs about others are named `..._age_s` or `revision`; None
-            is left out.
+        part: The component that decided; the logger is `roadpass.<part>`.
+        what: The decision, in a few words.
+        request: Id of the request concerned, empty for none.
+        inputs: What the decision was based on; `None` is left out. The age or revision of
+            information about other nodes is named `..._age_s` or `revision`.
     """
     logger = _logger(part)
     if logger.isEnabledFor(logging.INFO):
--- a/roadpass/fingerprint.py
+++ b/roadpass/fingerprint.py
@@ -1,7 +1,7 @@
-"""What makes two requests the same work: method, host, path, named caller and body.
+"""Fingerprints identify requests for the same work: same host, method, path, caller and body.
 
-A caller's ids differ from one coming to the next, and so does the VM that it comes to; what a
-target does with a request follows from these.
+They determine what a target does with a request. The caller's request id changes each time it sends
+the request again, and so may the VM that receives it.
 """
 
 import hashlib
@@ -15,12 +15,12 @@
     """Return the fingerprint of a request, in hexadecimal.
 
     Args:
-        host: As the caller named it.
+        host: As sent by the caller; case is ignored.
         method: HTTP method.
         path: Path with query.
-        caller: How the caller names or proves itself, empty if it does not; not its IP number, as
-            the same caller comes to any VM.
-        body: Whole body.
+        caller: Name or credentials of the caller, empty if it gives none. Not its IP address, since
+            the same caller may use any VM.
+        body: Complete body.
     """
     digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     for part in (host.lower(), method, path, caller):
--- a/roadpass/ingress.py
+++ b/roadpass/ingress.py
@@ -1,4 +1,4 @@
-"""The ingress: takes callers' requests over HTTP and answers each with its own outcome."""
+"""The ingress: accepts callers' HTTP connections and answers each request with its outcome."""
 
 import logging
 import select
@@ -17,24 +17,26 @@
 from roadpass.view import View
 
 BACKLOG = 1024
-"""Connections that may wait to be accepted; callers all come at once after another VM's loss."""
+"""Connections that may wait to be accepted: after the loss of another VM many callers connect at
+once."""
 ACCEPT_POLL_S = 0.2
-"""Seconds between looks at whether to stop listening."""
+"""Seconds between checks whether to stop listening."""
 MAX_CONNECTIONS = 3000
-"""Connections held at once, each by a thread; more would cost memory that others need."""
+"""Connections open at once, each with a thread; more would take memory that the VM's other
+processes need."""
 STACK_BYTES = 256 * 1024
-"""Bytes of stack of a connection's thread; the usual 8 MiB are far more than it needs."""
+"""Bytes of stack of a connection's thread; the default of 8 MiB is far more than it needs."""
 STOP_LIMIT_S = 1.0
-"""Seconds to wait for the end of the accepting thread; it looks several times in that time."""
+"""Seconds to wait for the accepting thread to end; it checks several times within them."""
 
 _log = logging.getLogger("roadpass.ingress")
 
 
-class Dispatches(Protocol):
-    """What the ingress hands requests to; `Dispatcher` is one."""
+class RequestHandler(Protocol):
+    """Processes the requests that the ingress receives; implemented by `Dispatcher`."""
 
     def dispatch(self, request: Request) -> Served:
-        """See one request to its outcome."""
+        """Process one request and return its outcome."""
 
 
 class Ingress(Actor):
@@ -42,17 +44,17 @@
 
     Args:
         settings: Of this node.
-        dispatcher: Sees requests to their outcomes.
-        view: Tells the limits, and whether the node is leaving.
+        dispatcher: Processes the requests.
+        view: Holds the limits, and whether the node is leaving.
         metrics: Counts outcomes.
-        dialect: Header names towards callers.
-        origin: Service of the VM at which requests begin, empty if unknown.
+        dialect: Header names used with callers.
+        origin: Service of the VM that receives the requests, empty if unknown.
     """
 
     def __init__(
         self,
         settings: Settings,
-        dispatcher: Dispatches,
+        dispatcher: RequestHandler,
         view: View,
         metrics: Metrics,
         *,
@@ -82,29 +84,29 @@
 
     @property
     def active(self) -> int:
-        """Requests that are being answered."""
+        """Number of requests in progress."""
         return self._active.value
 
     @property
     def unread(self) -> int:
-        """Connections on which something waits to be read, one that waits to be accepted included.
+        """Connections with unread input, and one more if a connection waits to be accepted.
 
-        A node that gets little processor time has not read what its callers have sent.
+        It shows work that a node short of processor time has not read yet.
         """
         poller = select.poll()
         for sock in (*self._open.copy(), self._listener):
             number = sock.fileno() if sock is not None else -1
-            if number >= 0:  # its thread may close it at any moment
+            if number >= 0:  # the connection thread may close it at any moment
                 poller.register(number, select.POLLIN)
         return sum(not events & select.POLLNVAL for _, events in poller.poll(0))
 
     @property
     def address(self) -> tuple[str, int]:
-        """IP number and port that callers reach; the port is known once it listens."""
+        """IP address and port for callers; a port chosen by the system is known once it listens."""
         return self._address
 
     def on_start(self) -> None:
-        """Listen."""
+        """Open the listening socket and start to accept connections."""
         family = socket.AF_INET6 if ":" in self._address[0] else socket.AF_INET
         listener = socket.create_server(self._address, family=family, backlog=BACKLOG)
         listener.settimeout(ACCEPT_POLL_S)
@@ -117,7 +119,7 @@
         _log.info("listening for callers on %s:%d", *self._address)
 
     def on_stop(self) -> None:
-        """Stop to listen; whoever stops the actor has seen to it that nothing is in flight."""
+        """Stop listening; the caller has made sure that no request is in flight."""
         self._stopped.set()
         if self._thread is not None:
             self._thread.join(STOP_LIMIT_S)
@@ -131,14 +133,18 @@
             except TimeoutError:
                 continue
             except OSError as error:
-                _log.warning("cannot accept a caller: %s", error)
+                _log.warning("cannot accept a connection: %s", error)
                 self._stopped.wait(ACCEPT_POLL_S)
                 continue
             self._accept(sock, address[0])
 
     def _accept(self, sock: socket.socket, remote: str) -> None:
         if self._connections.value >= MAX_CONNECTIONS:
-            _log.warning("closed a connection of %s, there are %d", remote, MAX_CONNECTIONS)
+            _log.warning(
+                "closed a connection of %s: the limit of %d connections is reached",
+                remote,
+                MAX_CONNECTIONS,
+            )
             sock.close()
             return
         self._connections.add(1)
@@ -153,14 +159,14 @@
             sock.close()
 
     def _start_thread(self, sock: socket.socket, remote: str) -> None:
-        usual = threading.stack_size(STACK_BYTES)
+        default = threading.stack_size(STACK_BYTES)
         try:
             thread = threading.Thread(
                 target=self._run, args=(sock, remote), name="caller", daemon=True
             )
             thread.start()
         finally:
-            threading.stack_size(usual)
+            threading.stack_size(default)
 
     def _run(self, sock: socket.socket, remote: str) -> None:
         try:
--- a/roadpass/limit.py
+++ b/roadpass/limit.py
@@ -1,18 +1,19 @@
-"""An adaptive limit of concurrent requests for targets that cannot use all their slots."""
+"""An adaptive concurrency limit for targets that cannot use all their slots."""
 
 DECREASE = 0.85
 SMOOTHING = 0.1
 FULL_SHARE = 0.8
 MIN_LIMIT = 1.0
 SUSTAINED_S = 3.0
-"""Slowness shorter than this cuts nothing: what counts as slow follows the others with a lag."""
+"""Seconds of slowness before the limit is reduced: the threshold for slow requests follows the
+latency of the other targets with a lag."""
 
 
 class AdaptiveLimit:
     """Additive increase, multiplicative decrease between 1 and the configured slots.
 
     Args:
-        slots: Slots of the target, the most it is ever given.
+        slots: Slots of the target, the upper bound of the limit.
     """
 
     def __init__(self, slots: int) -> None:
@@ -26,7 +27,7 @@
 
     @property
     def value(self) -> int:
-        """Requests that may run at once."""
+        """Number of requests that may run at once."""
         return int(self._limit)
 
     @property
@@ -35,20 +36,20 @@
         return self._service_ms
 
     def resize(self, slots: int) -> None:
-        """Take over a new number of slots."""
+        """Apply a new number of slots; the limit grows with it, and never exceeds it."""
         grown = slots > self._slots
         self._slots = slots
         self._limit = float(slots) if grown else min(self._limit, float(slots))
 
     def observe(self, now: float, service_ms: float, slow_ms: float, in_use: int) -> None:
-        """Learn from one finished request.
+        """Adjust the limit after one finished request.
 
         Args:
             now: Seconds.
-            service_ms: Time from when the target got the request.
-            slow_ms: What counts as slow for a request of its kind, 0 if unknown: short requests
-                that come beside long ones make neither slow.
-            in_use: Requests that ran at the time, this one included.
+            service_ms: Milliseconds since the target received the request.
+            slow_ms: Milliseconds above which a request of its kind is slow, 0 if unknown. Being
+                specific to the kind, it stays right in a mix of short and long requests.
+            in_use: Requests in flight at that time, this one included.
         """
         if self._service_ms == 0.0:
             self._service_ms = service_ms
--- a/roadpass/outcome.py
+++ b/roadpass/outcome.py
@@ -1,4 +1,4 @@
-"""What an attempt ends in: answered, not run (proved), or unknown."""
+"""Outcomes of attempts: answered, proved not run, or unknown."""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -7,16 +7,17 @@
 Headers: TypeAlias = list[tuple[str, str]]
 
 SERVER_ERROR = 500
-"""From this status on an answer counts as a failure of its target."""
+"""Answers with this status or a higher one count as failures of their target."""
 RETRY_SOON_MS = 500
 RETRY_LATER_MS = 2000
-"""When to come back: where another node or moment may do, and where capacity must return."""
+"""Milliseconds after which to retry: where another node or moment may help, and where capacity has
+to return first."""
 OUTCOME_HEADER = "Roadpass-Outcome"
 REASON_HEADER = "Roadpass-Reason"
 
 
 class Reason(StrEnum):
-    """Why an attempt was not run, or why it may have run."""
+    """Why an attempt was not run, or why its outcome is unknown."""
 
     NO_ROUTE = "no-route"
     NO_CAPACITY = "no-capacity"
@@ -51,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """The whole answer of the target to this request."""
+    """The complete answer of the target to this request."""
 
     status: int
     headers: Headers
@@ -61,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NotRun:
-    """Proved: the target never got the request and never will."""
+    """Proof that the target never received the request and never will."""
 
     reason: Reason
     retry_after_ms: int = 1000
@@ -69,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unknown:
-    """The request may have run."""
+    """The request may have run; nothing proves that it did not."""
 
     reason: Reason
 
@@ -98,7 +99,7 @@
 
 
 def caller_headers(outcome: Outcome) -> Headers:
-    """Return the headers that tell the caller what became of its request."""
+    """Return the headers that report the outcome to the caller."""
     match outcome:
         case Answered():
             return [(OUTCOME_HEADER, "answered")]
--- a/roadpass/request.py
+++ b/roadpass/request.py
@@ -1,4 +1,4 @@
-"""A caller's request at the ingress, and what is noted of it on its way."""
+"""A caller's request at the ingress, and records of its attempts."""
 
 from dataclasses import dataclass
 from typing import NamedTuple, Protocol
@@ -11,31 +11,32 @@
 
 
 class CallerWatch(Protocol):
-    """Tells whether the caller of a request has left; used by one thread at a time."""
+    """Detects whether the caller of a request has disconnected; used by one thread at a time."""
 
     @property
     def watchable(self) -> bool:
-        """Whether polling `fileno` for input can still tell anything new."""
+        """Whether polling `fileno` for input can still reveal anything new."""
 
     def fileno(self) -> int:
         """Return the descriptor of the caller's connection."""
 
     def gone(self) -> bool:
-        """Take in what has come, without waiting, and tell whether the caller has closed."""
+        """Read the available input without blocking; tell whether the caller closed."""
 
 
 class Request(NamedTuple):
     """A caller's request.
 
     Args:
-        deadline: Clock seconds by which the caller wants an answer, `None` for the route's.
+        deadline: Clock seconds by which the caller wants an answer, `None` for the timeout of the
+            route.
         key: The caller's idempotency key, empty for none.
         repeat: Whether the caller says that it sent this request before.
-        watch: Tells when the caller has left, `None` if nobody can.
-        id: The caller's name for this request, empty for none.
-        origin: Service of the VM at which the request began, empty if unknown.
-        fingerprint: What it has in common with others for the same work, empty if unknown.
-        access: Whose key it shows, `None` where there were no customers when it was looked at.
+        watch: Detects that the caller has disconnected, `None` if that is not possible.
+        id: The caller's id of this request, empty for none.
+        origin: Service of the VM that received the request, empty if unknown.
+        fingerprint: The same for all requests for the same work, empty if unknown.
+        access: Result of checking its API key, `None` if no customers were configured then.
     """
 
     host: str
@@ -55,12 +56,12 @@
 
     @property
     def customer(self) -> Customer | None:
-        """Whose request it is, `None` if nobody's in particular."""
+        """The customer whose key it carries, `None` if there is none."""
         return self.access.customer if self.access is not None else None
 
 
 class Served(NamedTuple):
-    """An outcome with the service and class it is counted under, empty without a route."""
+    """An outcome with the service and class under which it is counted, empty without a route."""
 
     outcome: Outcome
     service: str = ""
@@ -68,7 +69,7 @@
 
 
 class Observation(NamedTuple):
-    """What an attempt showed, for the health actor."""
+    """What an attempt revealed about its target, for the health actor."""
 
     service: str
     target: str
@@ -81,17 +82,17 @@
 
 @dataclass(slots=True)
 class Pending:
-    """An attempt under way.
+    """An attempt in flight.
 
     Args:
         service: Of its route.
         target: To which it was sent.
-        since: Clock seconds at which it was.
+        since: Clock seconds at which it was sent.
         vm: Of the target.
-        usual_ms: Milliseconds that one of its kind usually takes, 0 if unknown.
-        until: Clock seconds until which it may take,
-        deadline: and until which its request may.
-        looks: How often it was found to be pending for too long.
+        usual_ms: Typical duration on its route in milliseconds, 0 if unknown.
+        until: Clock seconds at which it times out.
+        deadline: Clock seconds at which its request times out.
+        looks: How often it was found to be overdue.
     """
 
     service: str
@@ -105,22 +106,30 @@
 
     @classmethod
     def of(cls, attempt: Attempt, service: str, vm: str, now: float, deadline: float) -> "Pending":
-        """Return an attempt that is sent now, of a request with a deadline."""
+        """Return the record of an attempt that is sent now.
+
+        Args:
+            attempt: The attempt.
+            service: Of its route.
+            vm: Of the target.
+            now: Clock seconds.
+            deadline: Of its request, in clock seconds.
+        """
         until = now + attempt.remaining_ms / 1000.0
         return cls(service, attempt.target, now, vm, attempt.usual_ms, until, deadline)
 
 
 class RequestProgress(NamedTuple):
-    """Where a request is that is under way.
+    """The progress of a current request.
 
     Args:
-        request: The caller's name for it.
-        since: Clock seconds at which it came.
-        arrivals: Attempts that reached a target before.
-        attempt: Id of the attempt that is under way, empty while a target is looked for.
-        attempt_since: Clock seconds at which that was sent.
-        target: To which it went,
-        vm: and where that is.
+        request: The caller's id of it.
+        since: Clock seconds at which it was received.
+        arrivals: Earlier attempts that reached a target.
+        attempt: Id of the attempt in flight, empty while a target is being chosen.
+        attempt_since: Clock seconds at which that attempt was sent.
+        target: To which it was sent.
+        vm: Of the target.
     """
 
     request: str
--- a/roadpass/retry.py
+++ b/roadpass/retry.py
@@ -1,23 +1,24 @@
-"""The budgets of repeats: of a service at one ingress, and of one target at its sidecar."""
+"""Retry budgets: of a service at one ingress, and of one target at its sidecar."""
 
 import math
 from collections import deque
 
 BURST = 10.0
-"""Most repeats at once where nobody sets it: a moment's work of one node."""
+"""Default of the largest burst of retries: about what one node handles in a moment."""
 WINDOW_S = 10.0
-"""Seconds of a window in which repeats are counted where nobody sets it."""
+"""Default length in seconds of the window in which repeats are counted."""
 ROUNDING = 1e-9
-"""Of a repeat: sums of shares are not exact."""
+"""Tolerance in repeats, as sums of fractions are not exact."""
 
 
 class RetryBudget:
-    """A token bucket that first attempts fill and retries empty.
+    """A token bucket that first attempts fill and retries drain.
 
     Args:
-        ratio: Tokens a first attempt adds: the most retries per first attempt in the long run.
-        burst: Most tokens held; infinite where this ingress sets no limit of its own, as the
-            targets' sidecars keep the sum of all ingresses (`RepeatAllowance`).
+        ratio: Tokens that a first attempt adds, and so the long-term limit of retries per first
+            attempt.
+        burst: Most tokens held; infinite where the targets' sidecars limit the retries of all
+            ingresses instead (`RepeatAllowance`).
     """
 
     def __init__(self, ratio: float, *, burst: float = BURST) -> None:
@@ -35,11 +36,11 @@
         return self._tokens
 
     def on_first_attempt(self) -> None:
-        """Count a first attempt."""
+        """Add the tokens of a first attempt."""
         self._tokens = min(self._burst, self._tokens + self._ratio)
 
     def take(self) -> bool:
-        """Take one retry, if the budget allows it."""
+        """Take one token for a retry; return False if there is none."""
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
@@ -47,20 +48,20 @@
 
 
 class RepeatAllowance:
-    """The repeats that one target is given: a share of its first arrivals, and a part of a slack.
+    """Limits the repeats at one target to a share of its first arrivals plus a fixed part.
 
-    All repeats of a service pass the doors of its few targets, so they share out what the fleet
-    may repeat with less waste than its many ingresses would: each of those would hold one or two
-    repeats, which a moment of losses at one VM uses up while the others' are left over.
+    All repeats of a service arrive at its few targets, so a limit there wastes less of the fleet's
+    retry budget than one at its many ingresses. Each of those would hold one or two repeats: a
+    burst of losses at one VM would use them up while those of the other VMs are left over.
 
-    It counts what came in the window that ends now, as the bound on the whole service does: so a
-    moment of losses after a quiet while has the repeats of that while at once. A bucket that first
-    arrivals fill would lose what it cannot hold.
+    Arrivals are counted in a sliding window that ends now, as in the limit on the whole service. So
+    a burst of losses after a quiet period can use the repeats of that period at once; a token
+    bucket would lose those that it cannot hold.
 
     Args:
-        ratio: Repeats for each first arrival of a window.
-        slack: Repeats of a window beyond that.
-        window_s: Seconds of a window.
+        ratio: Repeats allowed for each first arrival in the window.
+        slack: Repeats allowed in a window in addition.
+        window_s: Length of the window in seconds.
     """
 
     def __init__(self, ratio: float, *, slack: float, window_s: float) -> None:
@@ -71,7 +72,7 @@
         self._repeats: deque[float] = deque()
 
     def configure(self, ratio: float, *, slack: float, window_s: float) -> None:
-        """Take over changed settings; what was spent in the window stays spent."""
+        """Apply changed settings; repeats that arrived in the window still count."""
         self._ratio = ratio
         self._slack = slack
         self._window_s = window_s
@@ -87,17 +88,17 @@
         return len(self._repeats) + 1 <= allowed + ROUNDING
 
     def record_arrival(self, now: float, *, repeat: bool) -> None:
-        """Count an arrival at the target.
+        """Count a request that arrived at the target.
 
         Args:
             now: Clock seconds.
-            repeat: Whether it is not the first of its request.
+            repeat: Whether it is a repeated attempt.
         """
         (self._repeats if repeat else self._firsts).append(now)
         self._forget(now)
 
     def _forget(self, now: float) -> None:
-        """Drop what came before the window that ends now."""
+        """Drop arrivals that are older than the window."""
         begin = now - self._window_s
         for times in (self._firsts, self._repeats):
             while times and times[0] <= begin:
--- a/roadpass/route.py
+++ b/roadpass/route.py
@@ -1,4 +1,4 @@
-"""Routes: from host, path and method to a service, or to several by weight."""
+"""Routes map host, path and method to a service, or to several services by weight."""
 
 from collections.abc import Iterable, Mapping
 from typing import Any, NamedTuple
@@ -9,21 +9,21 @@
 
 
 class Part(NamedTuple):
-    """A service's part of a route's traffic; weights are relative to each other."""
+    """The part of a route's traffic that a service gets; weights are relative to each other."""
 
     service: str
     weight: float
 
 
 class Route(NamedTuple):
-    """One route; `timeout_ms` is `None` where the service's value holds.
+    """One route; `timeout_ms` is `None` if the value of the service applies.
 
     Args:
-        service: Where its requests go, or the first of its parts.
-        split: Parts by weight, empty if all goes to `service`.
-        max_attempts: Most targets that one request may be sent to, `None` for no bound of its own.
-        target_latency_ms: Time within which an answer is worth most, `None` if nobody said.
-        public: Whether its requests need no key where there are customers.
+        service: Where its requests go, or the first service of the split.
+        split: Services with weights, empty if all requests go to `service`.
+        max_attempts: Most targets that one request may be sent to, `None` for no limit.
+        target_latency_ms: Latency objective, `None` if none is configured.
+        public: Whether its requests need no API key even if customers are configured.
     """
 
     name: str
@@ -42,12 +42,12 @@
 
     @property
     def parts(self) -> tuple[Part, ...]:
-        """The services that may get its requests, with weights."""
+        """The services that may get its requests, with their weights."""
         return self.split or (Part(self.service, 1.0),)
 
     @classmethod
     def from_config(cls, name: str, value: Any) -> "Route":
-        """Build a route from its checked written form."""
+        """Build a route from its validated configuration."""
         return cls(
             name=name,
             host=value.get("host", ANY_HOST).lower(),
@@ -68,8 +68,8 @@
 class RouteTable:
     """Finds the most specific route: exact host first, then the longest path prefix.
 
-    Prefixes end at path segments: `/opac` serves `/opac` and `/opac/x`, not `/opacity`. Among
-    routes of one prefix those that name the method go before those that take any.
+    Prefixes match whole path segments: `/opac` matches `/opac` and `/opac/x`, not `/opacity`. Among
+    routes with the same prefix, those that name methods take precedence over those for any method.
     """
 
     def __init__(self, routes: Iterable[Route]) -> None:
@@ -79,7 +79,7 @@
             prefixes.setdefault(_normal(route.path), []).append(route)
 
     def find(self, host: str, path: str, method: str) -> Route | None:
-        """Return the route of a request, or `None`.
+        """Return the route of a request, `None` if no route matches.
 
         Args:
             host: Host name of the request, with or without port.
--- a/roadpass/selector.py
+++ b/roadpass/selector.py
@@ -12,7 +12,7 @@
 
 
 class Window(NamedTuple):
-    """Days and minutes of the day in an IANA time zone; it may run past midnight."""
+    """Days of the week and minutes of the day in an IANA time zone; it may run past midnight."""
 
     days: frozenset[int]
     start: int
@@ -21,7 +21,7 @@
 
     @classmethod
     def from_config(cls, value: Any) -> "Window":
-        """Build a window from its checked written form."""
+        """Build a window from its validated configuration."""
         days = value.get("days", DAYS)
         return cls(
             days=frozenset(DAYS.index(day) for day in days),
@@ -31,7 +31,7 @@
         )
 
     def contains(self, instant: datetime) -> bool:
-        """Tell whether an instant (with time zone) lies in the window."""
+        """Tell whether an instant (with time zone) lies in the window; its end is excluded."""
         local = instant.astimezone(_zone(self.zone))
         minute = local.hour * 60 + local.minute
         today = local.weekday()
@@ -43,7 +43,7 @@
 
 
 class Selector(NamedTuple):
-    """One rule; rules are tried in the order of the document."""
+    """One rule; rules are evaluated in the order of the document."""
 
     name: str
     service: str | None
@@ -54,7 +54,7 @@
 
     @classmethod
     def from_config(cls, value: Any) -> "Selector":
-        """Build a selector from its checked written form."""
+        """Build a selector from its validated configuration."""
         return cls(
             name=value["name"],
             service=value.get("service"),
@@ -65,16 +65,16 @@
         )
 
     def applies(self, service: str, labels: Labels) -> bool:
-        """Tell whether the selector speaks of a route, at whatever time."""
+        """Tell whether the selector applies to a route, regardless of its time windows."""
         return self.service in (None, service) and matches(self.routes, labels)
 
     def active(self, instant: datetime) -> bool:
-        """Tell whether the selector is in force at an instant."""
+        """Tell whether an instant (with time zone) lies in one of its windows, or it has none."""
         return not self.windows or any(window.contains(instant) for window in self.windows)
 
 
 class Labelled(NamedTuple):
-    """A target's name and labels, as selectors see it."""
+    """The name and labels of a target."""
 
     name: str
     labels: Labels
@@ -89,9 +89,9 @@
 ) -> tuple[tuple[str, ...], ...]:
     """Choose the groups of targets that may serve a route, in the order they are to be used.
 
-    With no selector that speaks of the route all targets may serve it. Otherwise the first
-    selector in force that matches a target gives the first group; with `spill` the next one
-    adds a group to fall back on.
+    If no selector applies to the route, all targets may serve it. Otherwise the first active
+    selector that matches a target provides the first group. If it has `spill` set, the next such
+    selector adds a group to fall back on.
 
     Args:
         selectors: In the order of the document.
@@ -104,13 +104,13 @@
         Groups of target names; empty if no capacity is selected.
     """
     candidates = list(targets)
-    speaking = [rule for rule in selectors if rule.applies(service, route_labels)]
-    if not speaking:
-        everyone = tuple(target.name for target in candidates)
-        return (everyone,) if everyone else ()
+    matching = [rule for rule in selectors if rule.applies(service, route_labels)]
+    if not matching:
+        all_names = tuple(target.name for target in candidates)
+        return (all_names,) if all_names else ()
     groups: list[tuple[str, ...]] = []
     seen: set[str] = set()
-    for rule in speaking:
+    for rule in matching:
         if not rule.active(instant):
             continue
         group = tuple(
--- a/roadpass/unanswered.py
+++ b/roadpass/unanswered.py
@@ -1,52 +1,53 @@
-"""Peers that did not answer a question, which are left alone for a while."""
+"""Back-off from peers that did not reply to a request."""
 
 from collections.abc import Hashable
 from typing import NamedTuple
 
 BACKOFF_S = 1.0
-"""Seconds for which such a peer is not asked: a cut way takes a third of a second to find, in which
-others can be asked; one lost packet is no reason to leave a peer alone for longer."""
-HOLD_MAX_S = 8.0
-"""The most that it grows to, doubled each time: ways stay cut for many seconds."""
+"""Seconds for which a peer is not contacted after its first failure. Detecting an unreachable peer
+takes a third of a second, in which others can be contacted; a single lost packet does not justify a
+longer back-off."""
+BACKOFF_MAX_S = 8.0
+"""Limit of the back-off, which doubles with each failure: partitions last for many seconds."""
 FORGET_S = 30.0
-"""Seconds after the end of its hold when a peer's silences are forgotten."""
+"""Seconds after the end of the back-off when the failures of a peer are forgotten."""
 
 
 class _Failures(NamedTuple):
-    """How often in a row a peer did not answer, and until when it is left alone."""
+    """Consecutive failures of a peer, and the clock seconds until which it is not contacted."""
 
     failures: int
     until: float
 
 
 class PeerBackoff:
-    """Notes who did not answer; pure."""
+    """Consecutive failures by peer, with exponential back-off; reads no clock, not thread-safe."""
 
     def __init__(self) -> None:
         self._failures: dict[Hashable, _Failures] = {}
 
     def record_failure(self, peer: Hashable, now: float) -> None:
-        """Note that a peer did not answer at a moment, in clock seconds."""
+        """Record that a peer did not reply; `now` is in clock seconds."""
         self._forget(now)
         failures = self.failures(peer)
-        hold_s = min(HOLD_MAX_S, BACKOFF_S * 2.0 ** min(failures, 8))
-        self._failures[peer] = _Failures(failures + 1, now + hold_s)
+        backoff_s = min(BACKOFF_MAX_S, BACKOFF_S * 2.0 ** min(failures, 8))
+        self._failures[peer] = _Failures(failures + 1, now + backoff_s)
 
     def record_reply(self, peer: Hashable) -> None:
-        """Note that a peer answered."""
+        """Record that a peer replied, which ends its back-off."""
         self._failures.pop(peer, None)
 
     def failures(self, peer: Hashable) -> int:
-        """Return how often in a row a peer did not answer."""
+        """Return the number of consecutive failures of a peer."""
         entry = self._failures.get(peer)
         return entry.failures if entry else 0
 
     def avoids(self, peer: Hashable, now: float) -> bool:
-        """Tell whether a peer is to be left alone at a moment."""
+        """Tell whether a peer should not be contacted now."""
         entry = self._failures.get(peer)
         return entry is not None and now < entry.until
 
     def _forget(self, now: float) -> None:
-        over = [peer for peer, entry in self._failures.items() if entry.until + FORGET_S < now]
-        for peer in over:
+        stale = [peer for peer, entry in self._failures.items() if entry.until + FORGET_S < now]
+        for peer in stale:
             del self._failures[peer]
--- a/tests/test_fingerprint.py
+++ b/tests/test_fingerprint.py
@@ -1,4 +1,4 @@
-"""Fingerprints: alike for the same work, wherever and under whatever id it comes, and only then."""
+"""Fingerprints are equal for the same work, and only then."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 
 
 def test_the_same_work_has_one_fingerprint() -> None:
-    """Hosts are named in any case."""
+    """The case of the host does not matter."""
     assert fingerprint(*WORK) == fingerprint("H.Example", *WORK[1:])
     assert len(fingerprint(*WORK)) == 2 * DIGEST_BYTES
 
@@ -25,11 +25,11 @@
         ("h.example", "POST", "/a/1?x=2customer-1", "", b"body"),
     ],
 )
-def test_other_work_has_another(other: tuple[str, str, str, str, bytes]) -> None:
-    """Also where two parts written one behind the other read alike."""
+def test_other_work_has_another_fingerprint(other: tuple[str, str, str, str, bytes]) -> None:
+    """Even if the concatenation of the parts is the same."""
     assert fingerprint(*other) != fingerprint(*WORK)
 
 
-def test_what_is_no_text_has_a_fingerprint_too() -> None:
-    """Heads are read as bytes, one character each."""
+def test_invalid_text_has_a_fingerprint() -> None:
+    """Request heads are decoded byte by byte, so they may contain any character."""
     assert fingerprint("h", "GET", "/\udcff\xff", "", b"\x00")
--- a/tests/test_ingress.py
+++ b/tests/test_ingress.py
@@ -1,4 +1,4 @@
-"""The ingress itself: how it listens, its many callers, and how it ends."""
+"""The ingress: its listening socket, many connections, and shutdown."""
 
 import logging
 import os
@@ -27,35 +27,35 @@
 
 @pytest.fixture
 def bench() -> Iterator[Bench]:
-    """Run an ingress in the own dialect."""
+    """Run an ingress with the default dialect."""
     with opened() as made:
         yield made
 
 
-def test_how_it_listens(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The backlog is long and stacks are small; other threads keep the usual one."""
+def test_backlog_and_stack_size(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The backlog is long and stacks are small; other threads keep the default size."""
     backlogs, stacks = [], []
     create, stack_size = socket.create_server, threading.stack_size
 
-    def noted_create(*args: Any, backlog: int, **named: Any) -> socket.socket:
+    def record_create(*args: Any, backlog: int, **named: Any) -> socket.socket:
         backlogs.append(backlog)
         return create(*args, backlog=backlog, **named)
 
-    def noted_stack(size: int = 0) -> int:
+    def record_stack_size(size: int = 0) -> int:
         stacks.append(size)
         return stack_size(size)
 
-    usual = stack_size()
-    monkeypatch.setattr("roadpass.ingress.socket.create_server", noted_create)
-    monkeypatch.setattr("roadpass.ingress.threading.stack_size", noted_stack)
+    default = stack_size()
+    monkeypatch.setattr("roadpass.ingress.socket.create_server", record_create)
+    monkeypatch.setattr("roadpass.ingress.threading.stack_size", record_stack_size)
     with opened() as bench:
         assert bench.caller().ask(GET).status == 200
     assert backlogs == [1024]
-    assert stacks == [256 * 1024, usual]
+    assert stacks == [256 * 1024, default]
 
 
-def test_address_is_free_again_at_once() -> None:
-    """Connections that the ingress closed do not keep the next one from listening."""
+def test_address_can_be_reused_at_once() -> None:
+    """Connections that the ingress closed do not keep the next ingress from listening."""
     with opened() as bench:
         caller = bench.caller()
         caller.ask(b"GET /a HTTP/1.1\r\nHost: shop\r\nConnection: close\r\n\r\n")
@@ -66,7 +66,7 @@
 
 
 def test_stop_ends_listening_and_idle_connections() -> None:
-    """After its stop nobody is accepted, and kept connections end."""
+    """After the stop no connection is accepted, and idle ones are closed."""
     with opened() as bench:
         caller = bench.caller()
         caller.ask(GET)
@@ -76,16 +76,16 @@
             bench.caller()
 
 
-def test_answers_are_not_held_back(bench: Bench) -> None:
-    """The caller's socket sends small pieces at once."""
+def test_answers_are_sent_without_delay(bench: Bench) -> None:
+    """Nagle's algorithm is off on the caller's socket."""
     delays = []
 
-    def look(request: Request) -> Served:
+    def check_delay(request: Request) -> Served:
         with socket.socket(fileno=os.dup(watch_of(request).fileno())) as sock:
             delays.append(sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY))
         return Served(Answered(200, [], b""))
 
-    bench.serve = look
+    bench.serve = check_delay
     bench.caller().ask(GET)
     assert delays == [1]
 
@@ -93,7 +93,7 @@
 def test_too_many_connections(
     bench: Bench, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """One too many is closed at once, which is logged; a place that is free again is given."""
+    """A connection above the limit is closed and logged; below it, new ones are accepted again."""
     assert ingress.MAX_CONNECTIONS == 3000
     monkeypatch.setattr(ingress, "MAX_CONNECTIONS", 2)
     first, second = bench.caller(), bench.caller()
@@ -113,13 +113,13 @@
     until(served)
 
 
-def test_hanging_requests_hold_up_no_other(bench: Bench) -> None:
-    """Each connection has its own thread; `active` counts what is being answered."""
-    go_on = threading.Event()
+def test_hanging_requests_do_not_block_others(bench: Bench) -> None:
+    """Each connection has its own thread; `active` counts the requests in progress."""
+    resume = threading.Event()
 
     def hang(request: Request) -> Served:
         if request.path == "/hang":
-            assert go_on.wait(WAIT_S)
+            assert resume.wait(WAIT_S)
         return Served(Answered(200, [], b""))
 
     bench.serve = hang
@@ -128,13 +128,13 @@
         caller.send(GET.replace(b"/a", b"/hang"))
     until(lambda: bench.active == 100)
     assert bench.caller().ask(GET).status == 200
-    go_on.set()
+    resume.set()
     assert all(caller.reply().status == 200 for caller in callers)
     until(lambda: bench.active == 0)
 
 
 def test_idle_connections_end_when_leaving(bench: Bench) -> None:
-    """Soon after the node leaves, connections that wait for a request are closed."""
+    """Soon after the node starts to leave, connections without a request are closed."""
     caller = bench.caller()
     assert caller.ask(GET).header("Connection") is None
     bench.view.leaving = True
@@ -143,17 +143,17 @@
     assert clock.now() - started < 1.0
 
 
-def test_requests_that_come_when_leaving(bench: Bench) -> None:
-    """They are served, also one that was begun before, and their connections end."""
-    begun, running = bench.caller(), bench.caller()
-    go_on = threading.Event()
+def test_requests_received_while_leaving(bench: Bench) -> None:
+    """They are served, also one that was partly received before; then the connection closes."""
+    partial, running = bench.caller(), bench.caller()
+    resume = threading.Event()
 
     def serve(request: Request) -> Served:
-        assert go_on.wait(WAIT_S)
+        assert resume.wait(WAIT_S)
         return Served(Answered(200, [], b"ok"))
 
     bench.serve = serve
-    begun.send(GET[:10])
+    partial.send(GET[:10])
     running.send(GET)
     until(lambda: bench.active == 1)
     time.sleep(0.02)
@@ -162,17 +162,17 @@
     new.send(GET)
     until(lambda: bench.active == 2)
     time.sleep(0.5)
-    begun.send(GET[10:])
+    partial.send(GET[10:])
     until(lambda: bench.active == 3)
-    go_on.set()
-    for caller in (begun, running, new):
+    resume.set()
+    for caller in (partial, running, new):
         reply = caller.reply()
         assert (reply.status, reply.header("Connection")) == (200, "close")
         assert caller.rest() == b""
 
 
-def test_a_body_that_is_not_whole_when_the_node_ends_is_told_so(bench: Bench) -> None:
-    """Its request has not run; a caller that sends slowly would else meet a closed connection."""
+def test_a_body_that_is_incomplete_when_the_node_ends_is_refused(bench: Bench) -> None:
+    """Its request has not run. Otherwise a slow caller would only see a closed connection."""
     caller = bench.caller()
     caller.send(post(b"x" * 50)[:-20])
     until(lambda: bench.active == 1)
@@ -184,12 +184,12 @@
     assert not bench.requests
 
 
-def test_what_came_behind_a_request_is_served_when_leaving(bench: Bench) -> None:
-    """A caller that sends ahead has not been told yet that the connection ends; its last is."""
-    go_on = threading.Event()
+def test_pipelined_requests_are_served_while_leaving(bench: Bench) -> None:
+    """Only the answer to the last one tells the caller that the connection closes."""
+    resume = threading.Event()
 
     def serve(request: Request) -> Served:
-        assert go_on.wait(WAIT_S)
+        assert resume.wait(WAIT_S)
         return Served(Answered(200, [], b"ok"))
 
     bench.serve = serve
@@ -199,7 +199,7 @@
     bench.view.leaving = True
     caller.send(GET + GET)
     time.sleep(0.05)
-    go_on.set()
+    resume.set()
     replies = [caller.reply() for _ in range(3)]
     assert [reply.status for reply in replies] == [200, 200, 200]
     assert [reply.header("Connection") for reply in replies] == [None, None, "close"]
@@ -207,7 +207,7 @@
 
 
 class _Starved(caller_connection.CallerConnection):
-    """A connection whose thread does not come to read."""
+    """A connection whose thread gets no processor time to read."""
 
     free = threading.Event()
 
@@ -216,8 +216,8 @@
         super().run()
 
 
-def test_what_callers_sent_and_nobody_read_is_counted(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A node that gets no processor time must not take itself for idle."""
+def test_connections_with_unread_input_are_counted(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A node that gets no processor time must not consider itself idle."""
     monkeypatch.setattr(ingress, "CallerConnection", _Starved)
     with opened() as bench:
 
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path through separate processes: caller, ingress, sidecar, target, platform."""
+"""End-to-end requests through separate processes: caller, ingress, sidecar, target, platform."""
 
 import socket
 import time
@@ -17,13 +17,13 @@
 
 @pytest.fixture(scope="module")
 def fleet() -> Iterator[Launcher]:
-    """Start the sample fleet of Granthsetu."""
+    """Start the Granthsetu example fleet."""
     with Launcher.from_example("granthsetu") as launcher:
         yield launcher
 
 
-def test_every_request_gets_its_own_whole_answer(fleet: Launcher) -> None:
-    """Repeatable and not repeatable requests through three ingresses."""
+def test_every_request_gets_its_own_complete_answer(fleet: Launcher) -> None:
+    """Repeatable and other requests through three ingresses."""
     caller = Caller([fleet.ingress(vm) for vm in fleet.vms[:3]], threads=4)
     loads = [Load("GET", "/opac/search", 40.0), Load("POST", "/circulation/issue", 20.0)]
     results = caller.run(loads, 2.0)
@@ -31,12 +31,12 @@
     assert_that([result for result in results if result.wrong], HasLength(0))
 
 
-def test_no_route_is_told_as_not_run(fleet: Launcher) -> None:
-    """A path that no route takes."""
+def test_a_missing_route_is_reported_as_not_run(fleet: Launcher) -> None:
+    """The caller gets 404 with the reason."""
     caller = Caller([fleet.ingress("vm-1")])
     result = caller.send(Load("GET", "/nothing", 1.0))
-    told = (result.status, result.outcome, result.reason)
-    assert_that(told, Equals((404, "not-run", "no-route")))
+    reported = (result.status, result.outcome, result.reason)
+    assert_that(reported, Equals((404, "not-run", "no-route")))
 
 
 def test_administration_api_and_tool_show_a_running_node(fleet: Launcher) -> None:
@@ -57,8 +57,8 @@
     assert_that(urllib3.request("GET", f"http://{node}/audit?after=x").status, Equals(400))
 
 
-def test_caller_that_goes_away_cancels_its_request(fleet: Launcher) -> None:
-    """A caller closes its connection while its target works; the target is told."""
+def test_a_caller_that_disconnects_cancels_its_request(fleet: Launcher) -> None:
+    """A caller closes its connection while its target works; the target's connection is closed."""
     for name in ("circulation-1", "circulation-2", "circulation-3"):
         fleet.target_control(name, hang=True)
     with socket.create_connection((fleet.address("vm-1"), PORTS["callers"])) as sock:
--- a/tests/test_retry.py
+++ b/tests/test_retry.py
@@ -1,4 +1,4 @@
-"""The repeats that one target is given: never more in any window than its part of the slack."""
+"""The limit on repeats at one target, in every window."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -11,68 +11,68 @@
 
 
 def allowance() -> RepeatAllowance:
-    """Return one with its slack."""
+    """Return a new allowance."""
     return RepeatAllowance(RATIO, slack=SLACK, window_s=WINDOW_S)
 
 
-def test_the_slack_is_spent_and_comes_back_with_first_arrivals_and_a_window_later() -> None:
-    """A moment of losses gets the slack, and then what its traffic earns."""
-    one = allowance()
+def test_the_slack_is_spent_and_recovers_with_first_arrivals_and_after_a_window() -> None:
+    """A burst of losses can use the slack, and then the share of first arrivals."""
+    budget = allowance()
     for _ in range(int(SLACK)):
-        assert one.has_repeat_left(0.0)
-        one.record_arrival(0.0, repeat=True)
-    assert not one.has_repeat_left(0.0)
+        assert budget.has_repeat_left(0.0)
+        budget.record_arrival(0.0, repeat=True)
+    assert not budget.has_repeat_left(0.0)
     for _ in range(5):
-        one.record_arrival(5.0, repeat=False)
-    assert one.has_repeat_left(5.0)
-    one.record_arrival(5.0, repeat=True)
-    assert not one.has_repeat_left(WINDOW_S - 0.1)
-    assert one.has_repeat_left(WINDOW_S + 0.1)
+        budget.record_arrival(5.0, repeat=False)
+    assert budget.has_repeat_left(5.0)
+    budget.record_arrival(5.0, repeat=True)
+    assert not budget.has_repeat_left(WINDOW_S - 0.1)
+    assert budget.has_repeat_left(WINDOW_S + 0.1)
 
 
-def test_a_moment_of_losses_has_the_repeats_of_the_quiet_while_before_it() -> None:
-    """All that the window's first arrivals earn, not only what a bucket would have held."""
-    one = allowance()
+def test_a_burst_of_losses_has_the_repeats_of_the_quiet_period_before_it() -> None:
+    """All that the first arrivals of the window allow, not only what a token bucket would hold."""
+    budget = allowance()
     for number in range(40):
-        one.record_arrival(0.2 * number, repeat=False)
-    given = 0
-    while one.has_repeat_left(8.0):
-        one.record_arrival(8.0, repeat=True)
-        given += 1
-    assert given == RATIO * 40 + SLACK
+        budget.record_arrival(0.2 * number, repeat=False)
+    granted = 0
+    while budget.has_repeat_left(8.0):
+        budget.record_arrival(8.0, repeat=True)
+        granted += 1
+    assert granted == RATIO * 40 + SLACK
 
 
-def test_changed_settings_keep_what_was_spent() -> None:
-    """A smaller fleet does not bring it back."""
-    one = allowance()
+def test_repeats_before_a_change_of_settings_still_count() -> None:
+    """A new limit does not make spent repeats available again."""
+    budget = allowance()
     for _ in range(int(SLACK)):
-        one.record_arrival(0.0, repeat=True)
-    one.configure(RATIO, slack=SLACK, window_s=2 * WINDOW_S)
-    assert not one.has_repeat_left(1.5 * WINDOW_S)
-    one.configure(RATIO, slack=2 * SLACK, window_s=2 * WINDOW_S)
-    assert one.has_repeat_left(1.5 * WINDOW_S)
+        budget.record_arrival(0.0, repeat=True)
+    budget.configure(RATIO, slack=SLACK, window_s=2 * WINDOW_S)
+    assert not budget.has_repeat_left(1.5 * WINDOW_S)
+    budget.configure(RATIO, slack=2 * SLACK, window_s=2 * WINDOW_S)
+    assert budget.has_repeat_left(1.5 * WINDOW_S)
 
 
-def test_what_is_kept_is_bounded_by_a_window() -> None:
-    """However long it lives, and whether or not anybody asks."""
-    one = allowance()
+def test_memory_is_bounded_by_the_window() -> None:
+    """However long it is used, and even if it is never queried."""
+    budget = allowance()
     for number in range(10_000):
-        one.record_arrival(0.1 * number, repeat=number % 7 == 0)
-    assert len(one._firsts) + len(one._repeats) <= 101
+        budget.record_arrival(0.1 * number, repeat=number % 7 == 0)
+    assert len(budget._firsts) + len(budget._repeats) <= 101
 
 
 @given(st.lists(st.tuples(st.floats(0.0, 3.0), st.booleans()), max_size=200))
 def test_no_window_has_more_repeats_than_the_slack_and_the_share_of_first_arrivals(
     steps: list[tuple[float, bool]],
 ) -> None:
-    """Whatever comes when."""
-    one, now = allowance(), 0.0
+    """For any sequence of arrivals."""
+    budget, now = allowance(), 0.0
     arrivals: list[tuple[float, bool]] = []
     for wait_s, repeat in steps:
         now += wait_s
-        if repeat and not one.has_repeat_left(now):
+        if repeat and not budget.has_repeat_left(now):
             continue
-        one.record_arrival(now, repeat=repeat)
+        budget.record_arrival(now, repeat=repeat)
         arrivals.append((now, repeat))
     for end, _ in arrivals:
         window = [repeat for at, repeat in arrivals if end - WINDOW_S < at <= end]
--- a/tests/test_route.py
+++ b/tests/test_route.py
@@ -1,4 +1,4 @@
-"""The route table against its naive twin."""
+"""The route table compared to a naive model."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -15,10 +15,10 @@
 
 
 @given(ROUTES, st.sampled_from(["one", "two", "three"]), PATHS, st.sampled_from(["GET", "POST"]))
-def test_find_agrees_with_twin(
+def test_find_agrees_with_naive_model(
     rows: list[tuple[str, str, frozenset[str]]], host: str, path: str, method: str
 ) -> None:
-    """Hosts, prefixes at segment ends, methods."""
+    """Hosts, prefixes of whole path segments, and methods."""
     routes = [
         Route(f"r{n}", host_, path_, methods, "s", None, False, {}, None)
         for n, (host_, path_, methods) in enumerate(rows)
--- a/tests/test_selector.py
+++ b/tests/test_selector.py
@@ -1,4 +1,4 @@
-"""Selectors and label matching against their naive twin."""
+"""Selectors and label matching compared to a naive model."""
 
 from datetime import UTC, datetime, timedelta
 
@@ -30,32 +30,32 @@
     ),
     max_size=4,
 )
-# Away from the nights in which clocks are put forward or back, where "a day" has no one length.
+# No instants near a change to or from daylight saving time, where days have other lengths.
 INSTANTS = st.integers(0, 60 * 24 * 100).map(
     lambda minutes: datetime(2026, 5, 1, tzinfo=UTC) + timedelta(minutes=minutes)
 )
 
 
 @given(WINDOWS, INSTANTS)
-def test_window_agrees_with_twin(window: Window, instant: datetime) -> None:
-    """Windows, also those past midnight, in any zone."""
+def test_window_agrees_with_naive_model(window: Window, instant: datetime) -> None:
+    """Also windows past midnight, in any time zone."""
     assert window.contains(instant) == naive.in_window(window, instant)
 
 
 @given(SELECTORS, LABELS, st.lists(LABELS, max_size=5), INSTANTS)
-def test_select_agrees_with_twin(
+def test_select_agrees_with_naive_model(
     selectors: list[Selector],
     route: dict[str, str],
     targets: list[dict[str, str]],
     instant: datetime,
 ) -> None:
-    """Groups, their order and spill."""
+    """Groups, their order, and `spill`."""
     labelled = [Labelled(f"t{n}", labels) for n, labels in enumerate(targets)]
     got = select(selectors, "one", route, labelled, instant)
     assert [set(g) for g in got] == naive.select(selectors, "one", route, labelled, instant)
 
 
 def test_window_of_a_whole_day() -> None:
-    """`00:00` to `24:00` holds every minute."""
+    """`00:00` to `24:00` contains every minute."""
     window = Window.from_config({"from": "00:00", "to": "24:00", "zone": "UTC"})
     assert window.contains(datetime(2026, 12, 2, 23, 59, tzinfo=UTC))
