--- a/roadpass/quarantine.py
+++ b/roadpass/quarantine.py
@@ -44,9 +44,10 @@
 """Records that are selected for eviction at a time. A scan of all records costs 2.8 ms, and the
 loss of a data hall brings hundreds of crashes, each with all requests that its target had."""
 MAX_ANSWERS = 1024
-"""Fingerprints whose latest answer a sidecar remembers, 0.14 MB; the popular ones stay in it."""
+"""Fingerprints whose latest answer a sidecar remembers, 0.14 MB. The one answered least recently is
+dropped first, so popular ones stay."""
 ROWS = 4
-"""Records in one datagram, under 90 bytes each: they fit beside the members and hints."""
+"""Records in one datagram, under 90 bytes each: they fit in addition to members and hints."""
 QUARANTINED_ROWS = 2
 """How many of these may be quarantined records that were sent often enough before. From them a node
 that has just started learns what is in quarantine."""
--- a/roadpass/trip.py
+++ b/roadpass/trip.py
@@ -71,10 +71,10 @@
             them is waiting for it.
         far_cost: Cost of its transfer to another data hall, as a share of a lost request.
         tried: Targets that are not probed again.
-        offers: What targets replied that had no free slot, or were likely to fail.
+        offers: Replies of targets that had no free slot or were likely to fail.
         refused: Why targets refused before the request reached them.
         arrivals: Attempts that reached a target.
-        redirects: Attempts refused before that.
+        redirects: Attempts that were refused before they reached a target.
         accepts_best: Whether it takes the best offer received, since no target meets its limits.
         accepted_wait_ms: Wait that this offer announced; the attempt may take longer by it.
         last_resort: Whether all targets have refused it and those that might still accept it are
@@ -189,10 +189,10 @@
         return least > FAR_EXPECTED_COST + self.far_cost
 
     def most_wait_ms(self) -> float:
-        """Return the longest wait for a slot that it accepts; after a longer one it is often late.
+        """Return the longest wait for a slot that it accepts, in milliseconds.
 
-        A queue that may grow to the objective minus the typical duration makes half of its requests
-        late, and serves no more of them than a short queue.
+        After a longer wait its answer is often late. A queue that may grow to the objective minus
+        the typical duration makes half of its requests late, and serves no more than a short one.
 
         A request whose attempt failed after it reached a target is late in any case, so only its
         deadline bounds the wait.
