--- a/roadpass/belief.py
+++ b/roadpass/belief.py
@@ -1,12 +1,12 @@
-"""One belief per target: how probable it is that it fails what it is given now.
-
-A gray target has bad spells: for some seconds it loses most of what it gets, by a reset at once or
-by saying nothing at all, while its health check stays good. The filter here has two hidden states,
-sound and bad, and learns how often spells begin and how long they last. Every request is evidence
-for the moment at which it was given to the target: an answer, a failure, a loss at once, and also
-the silence so far, measured against the usual time of that kind of request. Silence counts from
-the first moment on, graded, and by kind: nothing has to time out before the next request goes
-elsewhere.
+"""Bayesian estimate of the probability that a target is failing its requests now.
+
+A target with a gray failure has failure periods: for some seconds it loses most of its requests, by
+resetting the connection at once or by never responding, while its health check passes. The filter
+has two hidden states, healthy and failing, and learns how often failure periods begin and how long
+they last. Every request is evidence about the moment at which it was sent to the target: a
+response, an error, an immediate loss, and also the time without a response so far, compared with
+the typical latency of that kind of request. Waiting counts gradually from the first moment on, so
+later requests avoid the target without any request having to time out first.
 """
 
 import math
@@ -17,44 +17,47 @@
 from roadpass.usual import LatencyEstimate
 
 FAILING_LOSS_SHARE = 0.75
-"""Share of its requests that a target is taken to fail in a bad spell; the higher, the more a good
-answer proves."""
+"""Assumed share of requests that a target fails during a failure period; the higher it is, the more
+a successful response proves."""
 HEALTHY_LOSS_SHARE = 0.001
-"""Share of its requests that a sound target loses at once: so rare that the first loss shuts the
-door even of a target that has just answered."""
+"""Assumed share of requests that a healthy target loses at once: so rare that the first loss trips
+the circuit breaker even of a target that has just responded."""
 ACCEPTED_AFTER_S = 0.03
-"""Seconds after which a request was not lost at once: several times what a reset takes to come."""
+"""Seconds after which a request was not lost at once: several times the delay of a reset."""
 LATE_LOSS_S = 0.1
-"""Seconds after which a loss tells nothing of whether the next request is taken: more than
-`ACCEPTED_AFTER_S`, since a node that gets little processor time notices a loss at once late."""
+"""Seconds after which a loss no longer predicts whether the next request is accepted: more than
+`ACCEPTED_AFTER_S`, since a node that is short of CPU time notices an immediate loss late."""
 HEALTHY_PRIOR_S = 15.0
 FAILING_PRIOR_S = 4.0
-"""Seconds from spell to spell, and of a spell, that are assumed before any was seen."""
+"""Assumed seconds between failure periods, and length of one, before any was observed."""
 PERIOD_BEGINS_AT = 0.7
 PERIOD_ENDS_AT = 0.2
-"""Beliefs from which on a spell is counted as begun, and as over, to learn how often and long."""
+"""Probabilities at which a failure period counts as begun and as ended, to learn how often they
+occur and how long they last."""
 PROBABILITY_MAX = 0.93
-"""The belief never goes beyond this and its opposite, so that a few good answers turn it."""
+"""The estimate stays between these two, so that a few successful responses can turn it."""
 PROBABILITY_MIN = 0.01
 TRACKED_MAX = 64
-"""Requests whose evidence is kept apart; beyond, the oldest count by what they showed so far."""
+"""Requests that are tracked one by one; beyond that, the oldest are folded in as they stand."""
 KINDS_MAX = 512
-"""Kinds of requests whose usual time is kept, 0.1 KB each; the oldest goes first."""
+"""Kinds of requests whose latency is kept, 0.1 KB each; the oldest is dropped first."""
 RESETS_PRIOR = 0.1
 UNANSWERED_PRIOR = 0.9
-"""Losses at once, and in silence, that are taken to have been seen before any was: so few that the
-first reset tells how the target fails; until then a request that is kept proves nothing."""
+"""Prior counts of resets and of requests without a response: so low that the first reset shows how
+the target fails; until then a request that was not reset at once proves nothing."""
 FAILURES_PRIOR = 0.5
-"""The same for answers that are failures: until some were seen, a quarter of a spell's work is
-expected to end so."""
+"""Prior count of error responses: until some were observed, a quarter of the requests in a failure
+period are expected to end with one."""
 LOSS_MEMORY = 20.0
-"""Losses of which it is remembered how they came."""
+"""Number of losses above which the counts by type are halved."""
 
 
 class End(Enum):
-    """How a request at a target ended, as far as it tells of the target.
+    """How a request ended, as evidence about its target.
 
-    An excused one failed because a call that its target made for it has failed.
+    `LOST` is a broken connection; `NO_RESPONSE` covers timeouts and cancelled requests.
+    `DEPENDENCY_FAILED` is a failure not attributed to the target: a call that it made to serve the
+    request failed. `INCONCLUSIVE` is no evidence.
     """
 
     ANSWERED = auto()
@@ -70,14 +73,14 @@
     """A request that the target has or had.
 
     Args:
-        kind: Of the request, such as its route.
-        started: Clock seconds.
-        trial: Whether it was let in although the target was believed bad.
-        observed_from: From when on its silence counts, clock seconds.
-        expected_ms: What its ingress says is typical for its kind, 0 for nothing.
-        customer: Whose it is, empty if nobody's in particular.
-        likelihood_ratio: How many times likelier what it showed is at a failing target; `None`
-            while it runs.
+        kind: Kind of request, such as its route.
+        started: Clock seconds at which it was sent.
+        trial: Whether it was admitted although the target was probably failing.
+        observed_from: Clock seconds from which on the wait for its response counts.
+        expected_ms: Typical latency of its kind according to the ingress, 0 if unknown.
+        customer: The customer it belongs to, empty if none.
+        likelihood_ratio: How many times likelier its outcome is at a failing target than at a
+            healthy one; `None` while it is in flight.
         counted_unanswered: Whether it was counted as a loss without any response.
     """
 
@@ -92,13 +95,13 @@
 
     @property
     def categories(self) -> tuple[str, ...]:
-        """By which it is known how often its like fail at sound targets."""
+        """Keys under which its baseline failure rate is learned."""
         route = f"route {self.kind}"
         return (route, f"customer {self.customer}") if self.customer else (route,)
 
 
 class FailureEstimator:
-    """A filter over all that one target shows; pure, the caller's lock guards it.
+    """Estimates one target's failure probability; does no I/O, the caller holds a lock.
 
     Args:
         now: Clock seconds.
@@ -122,11 +125,11 @@
 
     @property
     def running(self) -> list[TrackedRequest]:
-        """The requests that the target has."""
+        """Requests in flight, the oldest first."""
         return [tracked for tracked in self._tracked if tracked.likelihood_ratio is None]
 
     def latency(self, kind: str) -> LatencyEstimate:
-        """Return the usual time of a kind of request at this target."""
+        """Return the latency estimate of a kind of request, a new one for an unknown kind."""
         found = self._latencies.get(kind)
         if found is None:
             if len(self._latencies) >= KINDS_MAX:
@@ -135,7 +138,7 @@
         return found
 
     def bad(self, now: float) -> float:
-        """Return how probable it is that the target is in a bad spell, from 0 to 1."""
+        """Return the probability that the target is in a failure period, 0 to 1."""
         bad, at = self._bad, self._at
         for tracked in self._tracked:
             bad = _bayes_update(
@@ -145,7 +148,7 @@
         return self._drift(bad, now - at)
 
     def likelihood_ratio(self, now: float, tracked: TrackedRequest) -> float:
-        """Return how many times more probable what a request shows so far is at a bad target."""
+        """Return how many times likelier a request's evidence so far is at a failing target."""
         if tracked.likelihood_ratio is not None:
             return tracked.likelihood_ratio
         age_s = now - tracked.observed_from
@@ -166,14 +169,14 @@
         expected_ms: float = 0.0,
         customer: str = "",
     ) -> TrackedRequest:
-        """Note that the target gets a request; what is returned is to be handed to `end`.
+        """Start to track a request; the result must be passed to `end`.
 
         Args:
             now: Clock seconds.
-            kind: Of the request.
-            trial: Whether it is let in although the target is believed bad.
-            expected_ms: What its ingress says is typical for its kind, 0 for nothing.
-            customer: Whose it is, empty if nobody's in particular.
+            kind: Kind of request, such as its route.
+            trial: Whether it is admitted although the target is probably failing.
+            expected_ms: Typical latency of its kind according to the ingress, 0 if unknown.
+            customer: The customer it belongs to, empty if none.
         """
         tracked = TrackedRequest(kind, now, trial, now, expected_ms, customer)
         self._tracked.append(tracked)
@@ -184,13 +187,14 @@
     def end(
         self, now: float, tracked: TrackedRequest, end: End, *, stalled_at: float = -math.inf
     ) -> None:
-        """Note how a request ended.
+        """Record how a request ended.
 
         Args:
             now: Clock seconds.
             tracked: What `begin` returned.
             end: How it ended.
-            stalled_at: When this process last stood still: silence before that tells nothing.
+            stalled_at: When this process last resumed after a stall; the wait for a response
+                before that is no evidence.
         """
         tracked.observed_from = max(tracked.observed_from, min(now, stalled_at))
         self._learn(now, tracked, end, stalled=stalled_at >= tracked.started)
@@ -201,12 +205,12 @@
         self._learn_failures(now, tracked, end)
 
     def discount_stall(self, now: float) -> None:
-        """Note that this process stood still until now: silence up to here tells nothing."""
+        """Ignore the wait for responses up to now, because this process was stalled."""
         for tracked in self._tracked:
             tracked.observed_from = max(tracked.observed_from, now)
 
     def count_unanswered(self, now: float) -> None:
-        """Count what is probably lost in silence as soon as it is, not when its time is over."""
+        """Count requests as losses once they are probably lost, before they time out."""
         for tracked in self.running:
             self._count_unanswered(now, tracked)
 
@@ -228,7 +232,7 @@
 
     @property
     def _failed_share(self) -> float:
-        """Share of its requests that the target answers with a failure in a spell."""
+        """Share of requests that the target answers with an error during a failure period."""
         return (
             FAILING_LOSS_SHARE * (self._failures + FAILURES_PRIOR) / (self._losses + FAILURES_PRIOR)
         )
@@ -238,11 +242,11 @@
         return self._unanswered_losses + self._resets + self._failures
 
     def _rates(self) -> tuple[float, float]:
-        """Return how many spells begin, and are over, a second of being sound or bad."""
+        """Return failure periods begun per healthy second and ended per failing second."""
         return self._periods_begun / self._healthy_s, self._periods_ended / self._failing_s
 
     def _drift(self, bad: float, for_s: float) -> float:
-        """Return the belief after so many seconds without evidence."""
+        """Return the probability after a time without evidence, in seconds."""
         if for_s <= 0.0:
             return bad
         begin, over = self._rates()
@@ -264,7 +268,7 @@
                 return 1.0
 
     def _learn(self, now: float, tracked: TrackedRequest, end: End, *, stalled: bool) -> None:
-        """Learn usual times and shares from a request's end."""
+        """Learn latencies and how losses come about from a request's end."""
         match end:
             case End.ANSWERED | End.FAILED:
                 self._unanswered_losses = max(
@@ -281,7 +285,7 @@
         self._forget_losses()
 
     def _learn_failures(self, now: float, tracked: TrackedRequest, end: End) -> None:
-        """Learn whose failures are usual, and whether those of spells are by answers."""
+        """Learn baseline failure rates, and how many losses are error responses."""
         match end:
             case End.ANSWERED:
                 self._failures += self._baseline_failures.succeeded(
@@ -300,7 +304,7 @@
             self._failures *= 0.5
 
     def _fold_in(self, now: float, tracked: TrackedRequest) -> None:
-        """Make a request's evidence part of the belief for good."""
+        """Fold a request's evidence into the stored probability; it is no longer tracked."""
         likelihood_ratio = self.likelihood_ratio(now, tracked)
         self._bad = _bayes_update(
             self._drift(self._bad, tracked.started - self._at), likelihood_ratio
@@ -308,7 +312,7 @@
         self._at = max(self._at, tracked.started)
 
     def _learn_periods(self, now: float) -> None:
-        """Learn how often spells begin and how long they last."""
+        """Learn how often failure periods begin and how long they last."""
         passed_s = max(0.0, now - self._updated_at)
         self._updated_at = now
         if self._in_failure_period:
@@ -325,6 +329,6 @@
 
 
 def _bayes_update(bad: float, likelihood_ratio: float) -> float:
-    """Return the belief after evidence that is so many times more probable at a bad target."""
+    """Return the probability after evidence with this likelihood ratio, within its bounds."""
     updated = bad * likelihood_ratio / (bad * likelihood_ratio + 1.0 - bad)
     return min(PROBABILITY_MAX, max(PROBABILITY_MIN, updated))
--- a/roadpass/door.py
+++ b/roadpass/door.py
@@ -1,37 +1,42 @@
-"""The door of one target: whether new work may go to it, by how bad it is believed to be.
+"""Circuit breaker of one target: admits new requests by the target's estimated failure probability.
 
-The sidecar beside a target sees all its work, so what it refuses has provably not run, and the
-ingress takes it elsewhere at once. A target that is probably in a bad spell gets only trials: work
-that may be repeated and has a repeat left, one at a time, until the belief has turned. Short of
-that the door refuses nothing by itself: who asks says how bad a target it would take.
+The sidecar on the target's VM sees all requests to it, so a request that it refuses has provably
+not run, and the ingress can send it to another target at once. While the target is probably
+failing, the breaker is tripped and admits only trials: retryable requests that have a retry left,
+one at a time, until the estimate recovers. Otherwise the breaker refuses nothing on its own: each
+request states the highest failure probability that it accepts.
+
+The log events name the two states: `door-shut` for tripped, `door-open` for not tripped.
 """
 
 from roadpass.belief import End, FailureEstimator, TrackedRequest
 
 TRIP_THRESHOLD = 0.6
-"""Belief from which on only trials are let in: two good ones turn the worst belief."""
+"""Failure probability at which the breaker trips: two successful trials bring the highest estimate
+below it."""
 TRIAL_THRESHOLD = 0.4
-"""Belief from which on what may be repeated comes as a trial, also while the door is open: else a
-target that nobody takes would never be known again to be sound."""
+"""Failure probability from which a request counts as a trial, even while the breaker is not
+tripped: otherwise a target that no ingress selects would never be seen to be healthy again."""
 IDLE_S = 1.5
-"""Seconds without any work after which an open door takes one request of whatever kind as a trial:
-most sound targets of a service must get some work in any two seconds."""
+"""Seconds without a request after which a breaker that is not tripped accepts any one request as a
+trial: most healthy targets of a service must get some requests in any two seconds."""
 BACKOFF_S = 0.2
-"""Seconds after a loss in which nothing is tried."""
+"""Seconds after a failure during which no trial starts."""
 BACKOFF_GROWTH = 1.8
 BACKOFF_MAX_S = 1.5
-"""A lost trial makes the next wait so many times longer, up to so many seconds: spells last for
-seconds and a trial in one costs a repeat. Trials that spent all repeats would leave none to open
-the doors with."""
+"""Factor by which each failed trial extends the back-off, and its maximum in seconds. Failure
+periods last for seconds, and a trial during one costs a retry; trials that used up the whole retry
+allowance would leave none for the trials that end the back-off."""
 DECISIVE_RATIO = 3.0
-"""A trial that makes its target so many times more or less probably bad no longer bars the next."""
+"""Likelihood ratio at which a running trial is decided, either way (this or its inverse), so that
+it no longer blocks the next one."""
 
 
 class CircuitBreaker:
-    """Decides on one target's new work; the caller's lock guards it.
+    """Decides which new requests one target gets; not thread-safe, the caller holds a lock.
 
     Args:
-        estimator: Of the target.
+        estimator: Estimates the target's failure probability.
     """
 
     def __init__(self, estimator: FailureEstimator) -> None:
@@ -42,20 +47,21 @@
         self._last_started_at = float("-inf")
 
     def tripped(self, now: float) -> bool:
-        """Tell whether only trials are let in."""
+        """Return whether only trials are admitted."""
         return self._estimator.bad(now) >= TRIP_THRESHOLD
 
     def wait_s(self, now: float) -> float:
-        """Return the seconds until another trial may start."""
+        """Return the remaining back-off in seconds, 0 if the next trial may start."""
         return max(0.0, self._backoff_until - now)
 
     def admits(self, now: float, *, trial: bool, pressing: bool = False) -> bool:
-        """Tell whether a request may start now.
+        """Return whether a request may start now.
 
         Args:
             now: Clock seconds.
-            trial: Whether it may serve as a trial: it can be repeated, and would be.
-            pressing: Whether no other target would take it: it need not wait for its turn.
+            trial: Whether it may serve as a trial: it can be retried, and would be.
+            pressing: Whether no other target would accept it: then it does not wait for the
+                back-off or for the current trial.
         """
         if not self.tripped(now):
             return True
@@ -64,11 +70,11 @@
         return pressing or (not self._trial_undecided(now) and now >= self._backoff_until)
 
     def admits_as_trial(self, now: float, *, trial: bool) -> bool:
-        """Tell whether a request is taken though its target is more doubtful than it wants.
+        """Return whether to accept a request although the estimate exceeds the request's limit.
 
         Args:
             now: Clock seconds.
-            trial: Whether it may serve as a trial: it can be repeated, and would be.
+            trial: Whether it may serve as a trial: it can be retried, and would be.
         """
         if not trial and (self.tripped(now) or now - self._last_started_at < IDLE_S):
             return False
@@ -77,7 +83,7 @@
     def begin(
         self, now: float, kind: str, *, expected_ms: float = 0.0, customer: str = ""
     ) -> TrackedRequest:
-        """Note that an admitted request of a kind starts; see `FailureEstimator.begin`."""
+        """Record that an admitted request of a kind starts; see `FailureEstimator.begin`."""
         self._last_started_at = now
         trial = self._estimator.bad(now) >= TRIAL_THRESHOLD
         return self._estimator.begin(
@@ -87,7 +93,7 @@
     def end(
         self, now: float, tracked: TrackedRequest, end: End, *, stalled_at: float = float("-inf")
     ) -> None:
-        """Note how a request ended; see `FailureEstimator.end`."""
+        """Record how a request ended, and back off if it failed; see `FailureEstimator.end`."""
         self._estimator.end(now, tracked, end, stalled_at=stalled_at)
         if (
             end in (End.LOST, End.NO_RESPONSE, End.FAILED)
@@ -97,7 +103,7 @@
         self._losses_seen.discard(tracked)
 
     def _trial_undecided(self, now: float) -> bool:
-        """Tell whether a trial runs of which nothing is known yet."""
+        """Return whether a trial is in flight that has not yet shown enough either way."""
         undecided = False
         for tracked in self._estimator.running:
             if not tracked.trial:
@@ -110,7 +116,7 @@
         return undecided
 
     def _back_off(self, now: float, tracked: TrackedRequest) -> None:
-        """Wait before the next trial, longer after each trial that failed."""
+        """Delay the next trial, longer after each failed one; counts each request once."""
         if tracked in self._losses_seen:
             return
         self._losses_seen.add(tracked)
--- a/roadpass/door_log.py
+++ b/roadpass/door_log.py
@@ -1,4 +1,4 @@
-"""The decision lines of one target's door: that it has opened, or shut."""
+"""Decision log lines of one target's circuit breaker: `door-shut` and `door-open`."""
 
 import threading
 
@@ -9,13 +9,13 @@
 
 
 class BreakerLog:
-    """Logs each turn of a door once; any thread may use it.
+    """Logs each state change of a circuit breaker once; thread-safe.
 
     Args:
-        target: Its name.
-        breaker: Of the target.
-        estimator: Of the target.
-        lock: Guards the two.
+        target: Name of the target.
+        breaker: The target's circuit breaker.
+        estimator: Estimates the target's failure probability.
+        lock: Guards the breaker and the estimator.
     """
 
     def __init__(
@@ -32,11 +32,11 @@
         self._logged_tripped = False
 
     def log_change(self, now: float, attempt: Attempt | None = None) -> None:
-        """Log that the door has opened or shut since the last line.
+        """Log that the breaker has tripped or recovered since the last line.
 
         Args:
             now: Clock seconds.
-            attempt: By which it did, `None` if by time.
+            attempt: The attempt that caused it, `None` if only time has passed.
         """
         with self._lock:
             tripped = self._breaker.tripped(now)
--- a/roadpass/failure_share.py
+++ b/roadpass/failure_share.py
@@ -1,10 +1,11 @@
-"""How often a sound target answers with a failure, learnt by route and by customer.
-
-A failure speaks against its target only as far as sound targets seldom answer so. Some routes fail
-often, and some customers send what every target fails; neither says anything of a target. Whether a
-failure was a sound target's is known a few answers later: a target in a bad spell goes on failing.
-So failures are learnt from in hindsight. Learnt at once, by a fixed weight, five failures of one
-spell made a fifth of all answers look like usual failures, and the next twenty proved nothing.
+"""Baseline failure rates: how often a healthy target returns an error, by route and by customer.
+
+An error counts against its target only as far as healthy targets rarely return one. Some routes
+fail often, and some customers send requests that every target rejects; neither says anything about
+the target. Whether the target was healthy when it failed is known a few responses later, since a
+target in a failure period goes on failing. So failures are learned with a delay. Learned at once
+with a fixed weight, five failures of one failure period made a fifth of all responses look like
+baseline failures, and the next twenty proved nothing.
 """
 
 from collections import deque
@@ -12,18 +13,19 @@
 from dataclasses import dataclass
 
 BASELINE_SHARE = 0.02
-"""Share of its answers that are taken to be failures before any was seen."""
+"""Prior failure rate of a route or customer."""
 BASELINE_WEIGHT = 10.0
-"""Answers that this counts for: three failures of a kind that always fails make them usual."""
+"""Weight of the prior in responses: three failures of a route or customer that always fails are
+enough to raise its baseline."""
 MEMORY = 40.0
-"""Answers that are remembered of each kind."""
+"""Maximum weight of the past in responses, for each route or customer."""
 JUDGE_AFTER_ANSWERS = 2
-"""Answers to wait for before a failure is learnt from: in a spell in which three of four fail, one
-failure in sixteen is followed by two successes."""
+"""Responses to wait for before a failure is learned: in a failure period in which three of four
+requests fail, only one failure in sixteen is followed by two successes."""
 UNJUDGED_MAX = 64
-"""Failures that wait for that; the oldest are judged earlier."""
+"""Maximum number of failures waiting to be judged; beyond it the oldest are judged early."""
 CATEGORIES_MAX = 512
-"""Routes, and customers, that are known, 0.1 KB each; the oldest goes first."""
+"""Routes and customers that are kept, 0.1 KB each; the oldest is dropped first."""
 
 
 @dataclass(slots=True)
@@ -33,7 +35,7 @@
 
     @property
     def share(self) -> float:
-        """Share of a sound target's answers that are failures."""
+        """Share of a healthy target's responses that are errors."""
         failures = self.failures + BASELINE_SHARE * BASELINE_WEIGHT
         return failures / (self.answers + BASELINE_WEIGHT)
 
@@ -46,7 +48,7 @@
 
 
 class BaselineFailures:
-    """What is known of one target's usual failures; pure, the caller's lock guards it."""
+    """Learns one target's baseline failure rates; does no I/O, the caller holds a lock."""
 
     def __init__(self) -> None:
         self._counts: dict[str, _Count] = {}
@@ -54,35 +56,35 @@
         self._answers = 0
 
     def of(self, categories: Iterable[str]) -> float:
-        """Return the share of sound answers that are failures, of whoever fails most often.
+        """Return the baseline failure rate, the highest among a request's categories.
 
         Args:
-            categories: By which a request is known, such as its route and its customer.
+            categories: Keys of the request, such as its route and its customer.
         """
         known = (self._counts[name].share for name in categories if name in self._counts)
         return max(known, default=BASELINE_SHARE)
 
     def succeeded(self, categories: tuple[str, ...], bad: float) -> float:
-        """Learn from an answer that is none.
+        """Learn from a successful response.
 
         Args:
-            categories: By which its request is known.
-            bad: How probably bad its target is.
+            categories: Keys of its request.
+            bad: Probability that its target is failing.
 
         Returns:
-            How many failures were a bad target's, of those that can be judged by now.
+            Expected number of failures due to a failing target, among those judged now.
         """
         self._learn(categories, failed=False, weight=1.0 - bad)
         return self._judge(bad)
 
     def failed(self, categories: tuple[str, ...], bad: float) -> float:
-        """Note a failure, to be learnt from later; see `succeeded`."""
+        """Record a failure, which is learned later; see `succeeded`."""
         judged = self._judge(bad)
         self._unjudged.append((self._answers, categories))
         return judged
 
     def _judge(self, bad: float) -> float:
-        """Learn from the failures that enough answers came after."""
+        """Learn from the failures that were followed by enough responses."""
         self._answers += 1
         judged = 0.0
         while self._unjudged:
--- a/roadpass/usual.py
+++ b/roadpass/usual.py
@@ -1,24 +1,25 @@
-"""How long requests of one kind usually take, learnt from those that were answered."""
+"""Latency estimate of one kind of request, learned from the requests that succeeded."""
 
 import math
 
 MIN_SAMPLES = 2
-"""Answers from which on the usual time is taken as known; what is expected of its spread has the
-weight of some more."""
+"""Responses from which on the typical latency counts as known; the prior spread has the weight of a
+few more."""
 MEMORY = 40
-"""Answers over which is averaged: some ten seconds of one target, so that it follows its speed."""
+"""Responses to average over: about ten seconds of one target, so that the estimate follows changes
+in its speed."""
 SPREAD = 0.5
-"""Spread of the logarithm expected before there are answers, the weight of that, in answers, and
-the least that is believed: a few answers alike do not make the next one late."""
+"""Prior standard deviation of the logarithm, its weight in responses, and the minimum: a few
+similar responses do not make the next one late."""
 SPREAD_WEIGHT = 4.0
 SPREAD_MIN = 0.3
 TAIL_SHARE = 0.02
-"""Share of sound requests of which nothing is expected: some take many times as long as usual, so
-that silence, however long, is no proof."""
+"""Share of requests at healthy targets that may take any time: some take many times the typical
+latency, so that no wait, however long, is proof of a failure."""
 
 
 class LatencyEstimate:
-    """A lognormal estimate of the time that sound requests of one kind take."""
+    """Lognormal latency estimate of one kind of request at healthy targets; not thread-safe."""
 
     __slots__ = ("_count", "_mean", "_variance")
 
@@ -29,16 +30,16 @@
 
     @property
     def known(self) -> bool:
-        """Whether enough were answered to tell."""
+        """Whether there were enough responses for an estimate."""
         return self._count >= MIN_SAMPLES
 
     @property
     def typical_ms(self) -> float:
-        """Milliseconds that half of them take at most, 0 while unknown."""
+        """Median in milliseconds, 0 while unknown."""
         return math.exp(self._mean) if self.known else 0.0
 
     def add(self, took_ms: float) -> None:
-        """Take in the time of one that was answered, in milliseconds."""
+        """Add the latency of a successful request, in milliseconds."""
         self._count = min(MEMORY, self._count + 1)
         step = 1.0 / self._count
         off = math.log(max(1.0, took_ms)) - self._mean
@@ -46,11 +47,11 @@
         self._variance = (1.0 - step) * (self._variance + step * off * off)
 
     def share_longer(self, ms: float, expected_ms: float = 0.0) -> float:
-        """Return the share of sound requests that take longer, 1 while unknown.
+        """Return the share of requests at a healthy target that take longer, 1 while unknown.
 
         Args:
             ms: Milliseconds.
-            expected_ms: What others say is typical, 0 for nothing; taken while it is unknown here.
+            expected_ms: Median to assume while the estimate is unknown here, 0 for none.
         """
         if ms <= 1.0 or not (self.known or expected_ms > 1.0):
             return 1.0
@@ -59,7 +60,7 @@
         return TAIL_SHARE + (1.0 - TAIL_SHARE) * 0.5 * math.erfc(z)
 
     def upper_ms(self, spreads: float) -> float:
-        """Return the time that many spreads above the typical one, 0 while unknown."""
+        """Return the milliseconds that many standard deviations above the median, 0 if unknown."""
         return math.exp(self._mean + spreads * self._spread()) if self.known else 0.0
 
     def _spread(self) -> float:
--- a/tests/test_belief.py
+++ b/tests/test_belief.py
@@ -1,4 +1,4 @@
-"""The belief of a target: what answers, losses and silence make of it."""
+"""Failure estimate of a target, from responses, losses and missing responses."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -14,52 +14,52 @@
 )
 
 KIND = "r"
-USUAL_S = 0.1
+TYPICAL_S = 0.1
 
 
-def learnt(answers: int = 30) -> tuple[FailureEstimator, float]:
-    """Return the belief of a target that answered one request after another, and the time."""
+def learned(answers: int = 30) -> tuple[FailureEstimator, float]:
+    """Return the estimator of a target that answered one request after another, and the time."""
     estimator, now = FailureEstimator(0.0), 0.0
     for _ in range(answers):
         tracked = estimator.begin(now, KIND)
-        now += USUAL_S
+        now += TYPICAL_S
         estimator.end(now, tracked, End.ANSWERED)
     return estimator, now
 
 
-def test_answers_make_a_target_sure_and_time_makes_it_doubtful_again() -> None:
-    """A spell may have begun since the latest answer."""
-    estimator, now = learnt()
+def test_responses_lower_the_estimate_and_time_without_any_raises_it() -> None:
+    """A failure period may have begun since the latest response."""
+    estimator, now = learned()
     just_now = estimator.bad(now)
     assert just_now < 0.05
     assert just_now < estimator.bad(now + 1.0) < estimator.bad(now + 10.0) < 0.5
 
 
-def test_silence_counts_before_anything_times_out() -> None:
-    """The longer beyond the usual time, the more; two that are silent tell more than one."""
-    estimator, now = learnt()
+def test_a_missing_response_counts_before_the_request_times_out() -> None:
+    """The more, the longer past the typical latency; two such requests count more than one."""
+    estimator, now = learned()
     estimator.begin(now, KIND)
-    sure = estimator.bad(now + ACCEPTED_AFTER_S)
-    doubtful = estimator.bad(now + 2.0 * USUAL_S)
-    bad = estimator.bad(now + 5.0 * USUAL_S)
-    assert sure < doubtful < bad
+    low = estimator.bad(now + ACCEPTED_AFTER_S)
+    raised = estimator.bad(now + 2.0 * TYPICAL_S)
+    high = estimator.bad(now + 5.0 * TYPICAL_S)
+    assert low < raised < high
     estimator.begin(now, KIND)
-    assert estimator.bad(now + 5.0 * USUAL_S) > max(bad, 0.6)
+    assert estimator.bad(now + 5.0 * TYPICAL_S) > max(high, 0.6)
 
 
-def test_silence_of_a_kind_that_was_never_answered_tells_nothing() -> None:
-    """Its usual time is not known: it may always take so long."""
-    estimator, now = learnt()
+def test_a_missing_response_of_an_unknown_kind_is_no_evidence() -> None:
+    """Its typical latency is unknown: it may always take that long."""
+    estimator, now = learned()
     tracked = estimator.begin(now, "never-answered")
-    without, _ = learnt()
+    without, _ = learned()
     assert estimator.bad(now + 5.0) <= without.bad(now + 5.0)
     estimator.end(now + 5.0, tracked, End.NO_RESPONSE)
     assert estimator.bad(now + 5.0) <= without.bad(now + 5.0)
 
 
-def test_one_loss_at_once_outweighs_all_answers_and_a_late_one_tells_nothing() -> None:
-    """Sound targets lose next to nothing at once; late, only an answer may be lost."""
-    estimator, now = learnt()
+def test_one_immediate_loss_outweighs_all_responses_and_a_late_one_is_no_evidence() -> None:
+    """Healthy targets lose almost nothing at once; a late loss may only affect the response."""
+    estimator, now = learned()
     late = estimator.begin(now, KIND)
     estimator.end(now + 0.3, late, End.LOST)
     assert estimator.bad(now + 0.3) < 0.2
@@ -68,18 +68,18 @@
     assert estimator.bad(now + 0.305) > 0.6
 
 
-def test_where_losses_come_at_once_a_request_that_is_kept_proves_its_target() -> None:
-    """Long before its answer; where targets fall silent, it proves nothing."""
-    resetting, now = learnt()
-    silent, _ = learnt()
+def test_a_request_that_is_not_reset_is_evidence_only_at_targets_that_reset() -> None:
+    """It lowers their estimate long before its response; at targets that hang it proves nothing."""
+    resetting, now = learned()
+    unresponsive, _ = learned()
     for number in range(8):
         tracked = resetting.begin(now + 3.0 * number, KIND)
         resetting.end(now + 3.0 * number + 0.003, tracked, End.LOST)
-        tracked = silent.begin(now + 3.0 * number, KIND)
-        silent.end(now + 3.0 * number + 2.0, tracked, End.NO_RESPONSE)
+        tracked = unresponsive.begin(now + 3.0 * number, KIND)
+        unresponsive.end(now + 3.0 * number + 2.0, tracked, End.NO_RESPONSE)
     later = now + 60.0
     change = []
-    for estimator in (resetting, silent):
+    for estimator in (resetting, unresponsive):
         before = estimator.bad(later)
         estimator.begin(later, KIND)
         change.append(estimator.bad(later + ACCEPTED_AFTER_S) / before)
@@ -87,40 +87,40 @@
     assert change[1] > 0.8
 
 
-def test_a_stall_of_this_process_is_no_silence_of_the_target() -> None:
-    """Nobody was listening."""
-    estimator, now = learnt()
+def test_a_stall_of_this_process_does_not_count_as_waiting_for_the_target() -> None:
+    """Responses could not be read during the stall."""
+    estimator, now = learned()
     estimator.begin(now, KIND)
-    silent = estimator.bad(now + 1.0)
+    unresponsive = estimator.bad(now + 1.0)
     estimator.discount_stall(now + 1.0)
-    assert estimator.bad(now + 1.0) < silent / 2.0
+    assert estimator.bad(now + 1.0) < unresponsive / 2.0
 
 
-def test_few_good_answers_turn_the_worst_belief() -> None:
-    """A spell is over when work succeeds again, not after a fixed time."""
-    estimator, now = learnt()
+def test_a_few_successes_bring_down_the_highest_estimate() -> None:
+    """A failure period ends when requests succeed again, not after a fixed time."""
+    estimator, now = learned()
     for _ in range(10):
         tracked = estimator.begin(now, KIND)
         estimator.end(now + 0.003, tracked, End.LOST)
     assert estimator.bad(now) > 0.8
     for number in range(3):
         start = now + 0.2 * number
-        estimator.end(start + USUAL_S, estimator.begin(start, KIND), End.ANSWERED)
+        estimator.end(start + TYPICAL_S, estimator.begin(start, KIND), End.ANSWERED)
     assert estimator.bad(now + 0.6) < 0.4
 
 
-def test_a_target_with_frequent_spells_is_trusted_for_less_long() -> None:
-    """How often spells begin is learnt."""
-    calm, now = learnt(600)
-    moody, _ = learnt(600)
+def test_a_target_with_frequent_failure_periods_is_trusted_for_less_time() -> None:
+    """The rate at which failure periods begin is learned."""
+    calm, now = learned(600)
+    flapping, _ = learned(600)
     for number in range(12):
         start = now + 2.0 * number
         for _ in range(2):
-            moody.end(start + 0.003, moody.begin(start, KIND), End.LOST)
+            flapping.end(start + 0.003, flapping.begin(start, KIND), End.LOST)
         for step in range(8):
             begun = start + 0.5 + 0.15 * step
-            moody.end(begun + USUAL_S, moody.begin(begun, KIND), End.ANSWERED)
-    assert moody.bad(now + 60.0) > 2.0 * calm.bad(now + 60.0)
+            flapping.end(begun + TYPICAL_S, flapping.begin(begun, KIND), End.ANSWERED)
+    assert flapping.bad(now + 60.0) > 2.0 * calm.bad(now + 60.0)
 
 
 @given(
@@ -134,10 +134,10 @@
         max_size=120,
     )
 )
-def test_whatever_happens_the_belief_is_a_probability_and_the_state_is_bounded(
+def test_the_estimate_stays_a_probability_and_the_state_stays_bounded(
     steps: list[tuple[float, str | End, str, int]],
 ) -> None:
-    """In any order of beginnings, ends and stalls."""
+    """In any order of starts, ends and stalls."""
     estimator, now = FailureEstimator(0.0), 0.0
     running: list[TrackedRequest] = []
     for wait_s, what, kind, which in steps:
@@ -153,9 +153,9 @@
         assert len(estimator.running) <= TRACKED_MAX
 
 
-def test_silence_is_known_as_the_way_of_a_target_before_its_requests_time_out() -> None:
-    """The next silent one tells more; one that is answered after all is taken back."""
-    estimator, now = learnt()
+def test_a_probably_lost_request_counts_as_a_loss_before_it_times_out() -> None:
+    """The next missing response weighs more; a late response takes the count back."""
+    estimator, now = learned()
     for _ in range(4):
         estimator.end(now + 0.003, estimator.begin(now, KIND), End.LOST)
     tracked = estimator.begin(now, KIND)
@@ -168,18 +168,18 @@
     assert abs(estimator.likelihood_ratio(later + 0.8, again) - early) < 0.2 * early
 
 
-def test_where_nothing_is_known_yet_silence_is_measured_by_what_the_ingress_says() -> None:
-    """A target that begins in a spell has no answers to learn from."""
-    told, untold = FailureEstimator(0.0), FailureEstimator(0.0)
+def test_the_latency_known_to_the_ingress_is_used_until_one_is_known_here() -> None:
+    """A target that starts in a failure period gives no responses to learn a latency from."""
+    with_hint, without_hint = FailureEstimator(0.0), FailureEstimator(0.0)
     for number in range(2):
-        told.begin(0.1 * number, KIND, expected_ms=100.0)
-        untold.begin(0.1 * number, KIND)
-    assert told.bad(1.0) > 0.7
-    assert untold.bad(1.0) < 0.4
+        with_hint.begin(0.1 * number, KIND, expected_ms=100.0)
+        without_hint.begin(0.1 * number, KIND)
+    assert with_hint.bad(1.0) > 0.7
+    assert without_hint.bad(1.0) < 0.4
 
 
-def test_a_request_that_is_kept_proves_nothing_before_the_first_reset() -> None:
-    """Where targets fall silent it would be the wrong way round."""
+def test_a_request_that_is_not_reset_proves_nothing_before_the_first_reset() -> None:
+    """At a target that hangs, requests that are not reset would wrongly lower the estimate."""
     estimator = FailureEstimator(0.0)
     before = estimator.bad(0.0)
     for number in range(5):
@@ -187,13 +187,13 @@
     assert estimator.bad(0.1) > 0.6 * before
 
 
-def test_failures_of_a_spell_do_not_become_usual() -> None:
-    """A target that fails at once is doubted from its first failure on, in the next spell too.
+def test_failures_of_a_failure_period_do_not_raise_the_baseline() -> None:
+    """A target that fails at once is suspect from its first failure, in the next period too.
 
-    Where the usual share of failures was learnt by a fixed weight, the fifth failure of a spell
-    proved nothing any more, and the target got work like a sound one.
+    When the baseline failure rate was learned with a fixed weight, the fifth failure of a period
+    no longer proved anything, and the target got as many requests as a healthy one.
     """
-    estimator, now = learnt()
+    estimator, now = learned()
     firsts = []
     for number in range(10):
         tracked = estimator.begin(now, KIND)
@@ -204,7 +204,7 @@
     assert estimator.bad(now) > 0.85
     for _ in range(4):
         tracked = estimator.begin(now, KIND)
-        now += USUAL_S
+        now += TYPICAL_S
         estimator.end(now, tracked, End.ANSWERED)
     assert estimator.bad(now) < 0.2
     first = estimator.begin(now, KIND)
@@ -212,21 +212,21 @@
     assert estimator.bad(now + 0.005) > 0.9 * firsts[0]
 
 
-def test_where_sound_targets_often_fail_a_failure_proves_little() -> None:
-    """One in four of a kind's answers is one: the target is trusted after some of them."""
-    estimator, now = learnt()
-    doubted = 0
+def test_a_failure_proves_little_where_healthy_targets_often_fail() -> None:
+    """One in four requests of a kind fails: the baseline is learned and the target trusted."""
+    estimator, now = learned()
+    suspected = 0
     for number in range(160):
         tracked = estimator.begin(now, "often")
-        now += USUAL_S
+        now += TYPICAL_S
         estimator.end(now, tracked, End.FAILED if number % 4 == 0 else End.ANSWERED)
-        doubted += number >= 80 and estimator.bad(now) > 0.6
-    assert doubted == 0
+        suspected += number >= 80 and estimator.bad(now) > 0.6
+    assert suspected == 0
 
 
-def test_an_excused_failure_tells_nothing() -> None:
-    """A call that the target made for it has failed."""
-    estimator, now = learnt()
-    without, _ = learnt()
+def test_a_failure_caused_by_a_dependency_is_no_evidence() -> None:
+    """A call that the target made to serve the request has failed."""
+    estimator, now = learned()
+    without, _ = learned()
     estimator.end(now + 0.005, estimator.begin(now, KIND), End.DEPENDENCY_FAILED)
     assert abs(estimator.bad(now + 1.0) - without.bad(now + 1.0)) < 0.01
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -1,4 +1,4 @@
-"""The door: shut while its target is probably bad, opened by trials, never by luck alone."""
+"""Circuit breaker: trips while its target is probably failing and recovers through trials."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -14,31 +14,31 @@
 )
 
 KIND = "r"
-USUAL_S = 0.1
+TYPICAL_S = 0.1
 
 
 def ready(answers: int = 30) -> tuple[CircuitBreaker, FailureEstimator, float]:
-    """Return the door of a target that answered so far, its belief, and the time."""
+    """Return the breaker and estimator of a target that succeeded so far, and the time."""
     estimator = FailureEstimator(0.0)
     breaker, now = CircuitBreaker(estimator), 0.0
     for _ in range(answers):
         answer(breaker, now)
-        now += USUAL_S
+        now += TYPICAL_S
     return breaker, estimator, now
 
 
 def answer(breaker: CircuitBreaker, now: float) -> None:
-    """Have a request answered."""
-    breaker.end(now + USUAL_S, breaker.begin(now, KIND), End.ANSWERED)
+    """Run a request that succeeds."""
+    breaker.end(now + TYPICAL_S, breaker.begin(now, KIND), End.ANSWERED)
 
 
 def lose(breaker: CircuitBreaker, now: float) -> None:
-    """Have a request lost at once."""
+    """Run a request that is lost at once."""
     breaker.end(now + 0.003, breaker.begin(now, KIND), End.LOST)
 
 
-def test_losses_shut_it_and_work_that_must_not_repeat_stays_out() -> None:
-    """Until trials have opened it again; the first trial only after a wait."""
+def test_a_loss_trips_it_and_only_trials_are_admitted_until_it_recovers() -> None:
+    """Requests that must not be retried are refused; the first trial waits for the back-off."""
     breaker, _, now = ready()
     assert breaker.admits(now, trial=False)
     lose(breaker, now)
@@ -51,14 +51,14 @@
         assert not breaker.admits(now, trial=False)
         assert breaker.admits(now, trial=True)
         answer(breaker, now)
-        now += USUAL_S
+        now += TYPICAL_S
         trials += 1
     assert 1 <= trials <= 3
     assert breaker.admits(now, trial=False)
 
 
-def test_one_good_trial_is_not_enough_in_a_spell_that_was_proved() -> None:
-    """In a spell one in four is good by luck."""
+def test_one_good_trial_does_not_end_a_confirmed_failure_period() -> None:
+    """One request in four succeeds by chance during a failure period."""
     breaker, _, now = ready()
     lose(breaker, now)
     lose(breaker, now)
@@ -66,8 +66,8 @@
     assert breaker.tripped(now + BACKOFF_S + 0.2)
 
 
-def test_one_trial_at_a_time_but_for_what_presses() -> None:
-    """A request that nobody else would take need not wait for its turn."""
+def test_one_trial_at_a_time_except_for_pressing_requests() -> None:
+    """A retryable request that no other target accepts does not wait for the current trial."""
     breaker, _, now = ready()
     lose(breaker, now)
     now += 0.5
@@ -77,30 +77,30 @@
     assert not breaker.admits(now, trial=False, pressing=True)
 
 
-def test_a_trial_that_stays_silent_bars_the_next_only_until_it_is_probably_lost() -> None:
-    """Then the next waits for its turn, not for the end of the silent one."""
+def test_an_unanswered_trial_blocks_the_next_only_until_it_is_probably_lost() -> None:
+    """The next trial then waits for the back-off, not for the time-out of the first."""
     breaker, _, now = ready()
     lose(breaker, now)
     now += 0.5
     breaker.begin(now, KIND)
-    assert not breaker.admits(now + USUAL_S, trial=True)
-    now += 8.0 * USUAL_S
+    assert not breaker.admits(now + TYPICAL_S, trial=True)
+    now += 8.0 * TYPICAL_S
     assert not breaker.admits(now, trial=True)
     assert breaker.wait_s(now) > BACKOFF_S
     assert breaker.admits(now + breaker.wait_s(now) + 0.001, trial=True)
 
 
-def test_silence_shuts_it() -> None:
-    """Two requests that are far beyond their usual time are enough."""
+def test_missing_responses_trip_it() -> None:
+    """Two requests that are far beyond their typical latency are enough."""
     breaker, _, now = ready()
     breaker.begin(now, KIND)
     breaker.begin(now, KIND)
-    assert breaker.admits(now + USUAL_S, trial=False)
-    assert not breaker.admits(now + 6.0 * USUAL_S, trial=False)
+    assert breaker.admits(now + TYPICAL_S, trial=False)
+    assert not breaker.admits(now + 6.0 * TYPICAL_S, trial=False)
 
 
-def test_lost_trials_wait_longer_and_longer() -> None:
-    """Up to a bound."""
+def test_each_lost_trial_extends_the_back_off() -> None:
+    """Up to its maximum."""
     breaker, _, now = ready()
     lose(breaker, now)
     waits = []
@@ -116,8 +116,8 @@
     assert BACKOFF_MAX_S - 0.01 <= waits[-1] <= BACKOFF_MAX_S
 
 
-def test_without_work_to_try_it_opens_by_time() -> None:
-    """A service whose routes must all not repeat has no trials; spells end."""
+def test_without_trials_it_recovers_with_time() -> None:
+    """A service without retryable routes has no trials, but failure periods end."""
     breaker, _, now = ready()
     lose(breaker, now)
     lose(breaker, now)
@@ -130,10 +130,10 @@
         st.tuples(st.floats(0.0, 1.0), st.booleans(), st.sampled_from(list(End))), max_size=80
     )
 )
-def test_what_is_let_in_while_shut_may_always_repeat(
+def test_a_tripped_breaker_admits_only_retryable_requests(
     steps: list[tuple[float, bool, End]],
 ) -> None:
-    """Whatever happens."""
+    """In any sequence of waits, requests and outcomes."""
     estimator = FailureEstimator(0.0)
     breaker, now = CircuitBreaker(estimator), 0.0
     for wait_s, trial, end in steps:
@@ -150,8 +150,8 @@
         breaker.end(now + 0.003, tracked, end)
 
 
-def test_a_doubtful_target_is_tried_again_though_its_door_is_open() -> None:
-    """Nobody would take it; one request at a time that may be repeated shows how it is."""
+def test_an_uncertain_target_accepts_a_trial_while_its_breaker_is_not_tripped() -> None:
+    """No ingress would select it otherwise; one retryable request at a time shows its state."""
     breaker, estimator, now = ready()
     lose(breaker, now)
     while breaker.tripped(now):
@@ -162,8 +162,8 @@
     assert not breaker.admits_as_trial(now, trial=True)
 
 
-def test_an_idle_target_takes_one_request_of_any_kind() -> None:
-    """Where nothing may be repeated there are no other trials; never through a shut door."""
+def test_an_idle_target_accepts_one_request_of_any_kind() -> None:
+    """Without retryable requests there are no other trials; a tripped breaker accepts none."""
     breaker, _, now = ready()
     assert not breaker.admits_as_trial(now + IDLE_S / 2.0, trial=False)
     assert breaker.admits_as_trial(now + IDLE_S, trial=False)
@@ -173,8 +173,8 @@
     assert not breaker.admits_as_trial(now + 0.5, trial=False)
 
 
-def test_failures_shut_it_as_losses_do() -> None:
-    """What must not repeat waits for trials, and those that fail come later and later."""
+def test_error_responses_trip_it_as_losses_do() -> None:
+    """Trials that fail extend the back-off."""
     breaker, _, now = ready()
     for _ in range(2):
         breaker.end(now + 0.001, breaker.begin(now, KIND), End.FAILED)
--- a/tests/test_failure_share.py
+++ b/tests/test_failure_share.py
@@ -1,4 +1,4 @@
-"""Which failures are usual: learnt by whose they are, and only where the target was sound."""
+"""Baseline failure rates, learned by route and customer while the target was healthy."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -11,50 +11,50 @@
 )
 
 ROUTE = ("route r",)
-SOUND, BAD = 0.03, 0.9
+HEALTHY, FAILING = 0.03, 0.9
 
 
-def test_failures_of_a_bad_target_are_no_usual_failures() -> None:
-    """Twenty of a sound one would be most of its answers; they count as the way it fails."""
+def test_failures_of_a_failing_target_do_not_raise_the_baseline() -> None:
+    """Twenty of them would be most of a healthy target's responses; they count as its losses."""
     shares = BaselineFailures()
-    counted = sum(shares.failed(ROUTE, BAD) for _ in range(20))
+    counted = sum(shares.failed(ROUTE, FAILING) for _ in range(20))
     assert shares.of(ROUTE) < 0.25
     assert counted > 15.0
 
 
-def test_failures_that_successes_follow_are_usual() -> None:
-    """One in five of a route's answers, of a target that is believed sound a moment later."""
+def test_failures_followed_by_successes_raise_the_baseline() -> None:
+    """One in five responses of a route fails, and the target looks healthy a moment later."""
     shares = BaselineFailures()
     for number in range(60):
         if number % 5:
-            shares.succeeded(ROUTE, SOUND)
+            shares.succeeded(ROUTE, HEALTHY)
         else:
             shares.failed(ROUTE, 0.8)
     assert 0.12 < shares.of(ROUTE) < 0.25
     assert shares.of(("route other",)) == BASELINE_SHARE
 
 
-def test_who_always_fails_is_known_after_a_few() -> None:
-    """Be it a route or a customer; other requests of the route are not judged by it."""
+def test_a_customer_that_always_fails_is_learned_after_a_few_failures() -> None:
+    """Other customers' requests of the same route keep a low baseline."""
     shares = BaselineFailures()
     poison = ("route r", "customer poison")
     for _ in range(5):
         shares.failed(poison, 0.8)
         for _ in range(8):
-            shares.succeeded(("route r", "customer good"), SOUND)
+            shares.succeeded(("route r", "customer good"), HEALTHY)
     assert shares.of(poison) > 0.25
     assert shares.of(("route r", "customer good")) < 0.15
 
 
-def test_a_failure_waits_for_what_comes_after_it() -> None:
-    """So the belief that judges it is the later one."""
+def test_a_failure_is_learned_only_after_later_responses() -> None:
+    """So it is judged by the later failure estimate."""
     shares = BaselineFailures()
-    shares.failed(ROUTE, BAD)
+    shares.failed(ROUTE, FAILING)
     before = shares.of(ROUTE)
     for _ in range(JUDGE_AFTER_ANSWERS):
         assert shares.of(ROUTE) <= before
-        shares.succeeded(ROUTE, SOUND)
-    shares.succeeded(ROUTE, SOUND)
+        shares.succeeded(ROUTE, HEALTHY)
+    shares.succeeded(ROUTE, HEALTHY)
     assert shares.of(ROUTE) > before
 
 
@@ -64,8 +64,10 @@
         max_size=300,
     )
 )
-def test_whatever_comes_it_is_a_share_and_bounded(steps: list[tuple[bool, int, float]]) -> None:
-    """In any order, of any number of names."""
+def test_the_rate_stays_between_0_and_1_and_the_state_bounded(
+    steps: list[tuple[bool, int, float]],
+) -> None:
+    """In any order, with any number of categories."""
     shares = BaselineFailures()
     for failed, number, bad in steps:
         categories = (f"route {number}",)
