--- a/roadpass/door.py
+++ b/roadpass/door.py
@@ -26,7 +26,7 @@
 BACKOFF_MAX_S = 1.5
 """Factor by which each failed trial extends the back-off, and its maximum in seconds. Failure
 periods last for seconds, and a trial during one costs a retry; trials that used up the whole retry
-allowance would leave none for the trials that end the back-off."""
+allowance would leave no retry for the trial that lets the breaker recover."""
 DECISIVE_RATIO = 3.0
 """Likelihood ratio at which a running trial is decided, either way (this or its inverse), so that
 it no longer blocks the next one."""
@@ -103,7 +103,7 @@
         self._losses_seen.discard(tracked)
 
     def _trial_undecided(self, now: float) -> bool:
-        """Return whether a trial is in flight that has not yet shown enough either way."""
+        """Return whether a trial in flight is undecided, see `DECISIVE_RATIO`."""
         undecided = False
         for tracked in self._estimator.running:
             if not tracked.trial:
--- a/roadpass/evidence.py
+++ b/roadpass/evidence.py
@@ -14,7 +14,7 @@
 EVIDENCE_KEPT_S = 2.0
 """Seconds without new requests after which the evidence against a target is dropped."""
 GATEWAY_TIMEOUT = 504
-"""Status that a target returns when its deadline has passed without a result."""
+"""Status that a target returns at the end of its time limit; it counts as no response then."""
 GIVEN_UP_SHARE = 0.9
 """Share of the time limit after which this status means that the deadline has passed."""
 HANGS_FACTOR = 3.0
--- a/roadpass/exchange.py
+++ b/roadpass/exchange.py
@@ -87,18 +87,18 @@
         bad: float,
         trial: bool,
     ) -> tuple[Outcome, End]:
-        """See an attempt to its end at the target.
+        """Send an attempt to the target and wait for its outcome.
 
         Args:
-            attempt: What to run; it has been admitted, and holds a slot.
+            attempt: The attempt, which has been admitted and holds a slot.
             started: Clock seconds of its start.
-            deadline: Clock seconds of its end at the latest.
-            watch: Tells when the caller has left, where this node is also its ingress.
-            bad: How probably bad the target was believed to be, for the log.
+            deadline: Clock seconds by which it must have ended.
+            watch: Detects that the caller has disconnected, if this node is also its ingress.
+            bad: Failure probability of the target before the attempt, for the log.
             trial: Whether the attempt is a trial, for the log.
 
         Returns:
-            What became of the attempt, and what that shows of the target.
+            The outcome of the attempt, and its class as evidence about the target.
         """
         self.guard.begin(attempt)
         end = End.INCONCLUSIVE
--- a/roadpass/sidecar.py
+++ b/roadpass/sidecar.py
@@ -151,12 +151,12 @@
             outcome: Outcome = refusal or NotRun(Reason.STALE_ROUTE, RETRY_SOON_MS)
             return Reply(outcome, self._report(local, attempt) if local else None)
         outcome = local.run(attempt, deadline, watch)
-        return Reply(outcome, self._report(local, attempt), self._crash(outcome, attempt))
+        return Reply(outcome, self._report(local, attempt), self._quarantine_row(outcome, attempt))
 
     def _report(self, local: LocalTarget, attempt: Attempt) -> LoadReport:
         return local.report(self._fleet.revision, attempt.traffic_class, attempt.route)
 
-    def _crash(self, outcome: Outcome, attempt: Attempt) -> list[Any] | None:
+    def _quarantine_row(self, outcome: Outcome, attempt: Attempt) -> list[Any] | None:
         """Return the quarantine entry of a request that was lost or is quarantined."""
         match outcome:
             case Unknown(reason=Reason.TARGET_LOST) | NotRun(reason=Reason.QUARANTINED):
--- a/roadpass/target.py
+++ b/roadpass/target.py
@@ -111,7 +111,7 @@
 
     Args:
         address: `ip:port` of the target.
-        max_connections: Maximum concurrent connections, which also limits the idle ones.
+        max_connections: Maximum concurrent connections; here it only limits the idle ones.
         dialect: Header names and rules to talk to the target.
     """
 
@@ -357,12 +357,12 @@
 def _answer(
     raw: RawAnswer, service_ms: float, dialect: Dialect, expected_instance: str
 ) -> TargetAnswer:
-    told = bool(dialect.expected_instance and expected_instance)
+    instance_sent = bool(dialect.expected_instance and expected_instance)
     refused = bool(dialect.not_run and values_of(raw.headers, dialect.not_run))
     instances = values_of(raw.headers, dialect.instance) if dialect.instance else []
     return TargetAnswer(
         Answered(raw.status, _forwarded_headers(raw.headers, dialect), raw.body, service_ms),
-        not_run=refused or (told and raw.status == _MISDIRECTED),
+        not_run=refused or (instance_sent and raw.status == _MISDIRECTED),
         instance=instances[0] if instances else "",
         load=_load(raw.headers, dialect),
     )
@@ -381,8 +381,8 @@
     prefix = dialect.own_prefix
     if prefix:
         dropped |= _REPLACED_BY_OWN
-    kept = end_to_end(headers, dropped)
-    return [(n, v) for n, v in kept if not (prefix and n.lower().startswith(prefix))]
+    forwarded = end_to_end(headers, dropped)
+    return [(n, v) for n, v in forwarded if not (prefix and n.lower().startswith(prefix))]
 
 
 def _idle_limit_s(raw: RawAnswer) -> float:
--- a/roadpass/target_connection.py
+++ b/roadpass/target_connection.py
@@ -124,7 +124,7 @@
         """Handle the end of the connection; return a response that it completes."""
         answer = self.feed(b"") if clean and self._by_close else None
         if answer is None:
-            raise TargetLostError("The target's connection ended before its answer was whole.")
+            raise TargetLostError("The target's connection ended before the response was complete.")
         return answer
 
     def _take(self, event: object) -> RawAnswer | None:
--- a/roadpass/target_end.py
+++ b/roadpass/target_end.py
@@ -43,14 +43,14 @@
         self._down = True
         return f"{self._target}/{self._count}"
 
-    def still_down(self, now: float, gone: Callable[[], bool]) -> bool:
+    def still_down(self, now: float, check_down: Callable[[], bool]) -> bool:
         """Return whether it is still down, checking at most every `CHECK_INTERVAL_S`.
 
         Args:
             now: Seconds.
-            gone: Checks whether it refuses connections.
+            check_down: Checks whether the target refuses connections.
         """
         if self._down and now - self._checked_at >= CHECK_INTERVAL_S:
             self._checked_at = now
-            self._down = gone()
+            self._down = check_down()
         return self._down
--- a/tests/test_drain.py
+++ b/tests/test_drain.py
@@ -45,8 +45,7 @@
     assert not stage.clean
 
 
-# Guards against a drain that reports cut requests when the last response was sent just before the
-# limit.
+# Guards against a drain that reports cut requests when the last response came just in time.
 def test_a_node_with_nothing_in_flight_at_the_limit_exits_cleanly() -> None:
     """There is no time left for the idle time, but no request was cut."""
     now, stage = ends_at(drain(), 0.0, busy_until=LIMIT_S - IDLE_S / 2.0)
--- a/tests/test_fence.py
+++ b/tests/test_fence.py
@@ -21,23 +21,23 @@
     def __init__(self) -> None:
         super().__init__()
         self.table = FenceTable(started_at=OLD)
-        self.twin = naive.Fences()
+        self.model = naive.Fences()
 
     @rule(attempt=IDS, key=KEYS, repeat=st.booleans())
     def claim(self, attempt: str, key: str, repeat: bool) -> None:
         repeat = repeat and bool(key)
         got = self.table.claim(0.0, attempt, key, repeat=repeat)
-        assert (got is None) == self.twin.claim(attempt, key, repeat)
+        assert (got is None) == self.model.claim(attempt, key, repeat)
 
     @rule(attempt=IDS)
     def fence(self, attempt: str) -> None:
         never = self.table.fence(0.0, attempt) is Verdict.NEVER_STARTS
-        assert never == self.twin.fence(attempt)
+        assert never == self.model.fence(attempt)
 
     @rule(key=st.sampled_from(["k1", "k2"]), token=IDS)
     def fence_key(self, key: str, token: str) -> None:
         never = self.table.fence_key(0.0, key, token) is Verdict.NEVER_STARTS
-        assert never == self.twin.fence_key(key, token)
+        assert never == self.model.fence_key(key, token)
 
 
 TestFence = FenceMachine.TestCase
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -160,7 +160,7 @@
     assert bench.runs == 0
 
 
-def reborn(born: int) -> Fleet:
+def restarted_fleet(born: int) -> Fleet:
     """Return a fleet as read from the store, with the target's entry of one of its starts."""
     route = Route("r", "h", "/", frozenset(), "s", "", False, {}, None)
     services = {"s": PublishedService("s", 10)}
@@ -172,7 +172,7 @@
 def test_a_target_that_restarts_with_the_same_id_gets_fresh_state(bench: Bench) -> None:
     """The health of its earlier start does not apply, and no attempt for that start runs."""
     sidecar = Sidecar(ADDRESS[0], 1, PauseWatch(), pull=dict, behind=lambda vm, revision: None)
-    sidecar.configure(reborn(7))
+    sidecar.configure(restarted_fleet(7))
     before = attempt(1, target="i-1@7")
     assert isinstance(sidecar.run(before).outcome, Answered)
     local = sidecar.targets["i-1@7"]
@@ -180,7 +180,7 @@
     for _ in range(9):
         breaker.end(clock.now(), breaker.begin(clock.now(), "r"), End.LOST)
     assert sidecar.check(Question.of(before))["t"] == "not_run"
-    sidecar.configure(reborn(9))
+    sidecar.configure(restarted_fleet(9))
     late = sidecar.run(attempt(2, target="i-1@7")).outcome
     assert isinstance(late, NotRun)
     assert late.reason is Reason.STALE_ROUTE
@@ -194,7 +194,7 @@
 def test_an_attempt_at_an_earlier_start_is_not_reported_as_not_run(bench: Bench) -> None:
     """It may have run, and the later start does not know."""
     sidecar = Sidecar(ADDRESS[0], 1, PauseWatch(), pull=dict, behind=lambda vm, revision: None)
-    sidecar.configure(reborn(7))
+    sidecar.configure(restarted_fleet(7))
     bench.state.behaviour.hang = True
     outcomes: list[Outcome] = []
     one = attempt(1, target="i-1@7", remaining_ms=600.0)
@@ -202,7 +202,7 @@
     thread.start()
     while not bench.runs:
         time.sleep(0.001)
-    sidecar.configure(reborn(9))
+    sidecar.configure(restarted_fleet(9))
     thread.join()
     assert isinstance(outcomes[0], Unknown)
     assert bench.runs == 1
@@ -261,7 +261,7 @@
 
 
 def test_shedding_raises_the_cost_of_a_target_but_never_excludes_it(bench: Bench) -> None:
-    """Attempts that accept only a low cost go elsewhere; the others are accepted."""
+    """Attempts that accept only a low cost are refused, until the target no longer sheds."""
     bench.state.behaviour.shed = True
     for number in range(4):
         assert reason(bench, attempt(number)) is Reason.SHED
@@ -343,15 +343,15 @@
     for number in range(20):
         assert reason(bench, attempt(number)) is None
     threads = occupy(bench, 2, route="old")
-    usual = bench.sidecar.run(attempt(30, may_wait=False)).outcome
+    normal = bench.sidecar.run(attempt(30, may_wait=False)).outcome
     time.sleep(0.2)
     hanging = bench.sidecar.run(attempt(31, may_wait=False)).outcome
     for thread in threads:
         thread.join()
-    assert isinstance(usual, NotRun)
+    assert isinstance(normal, NotRun)
     assert isinstance(hanging, NotRun)
-    assert usual.reason is hanging.reason is Reason.BUSY
-    assert usual.retry_after_ms < 100
+    assert normal.reason is hanging.reason is Reason.BUSY
+    assert normal.retry_after_ms < 100
     assert hanging.retry_after_ms == HANGING_MS
 
 
--- a/tests/test_target.py
+++ b/tests/test_target.py
@@ -207,9 +207,9 @@
 def test_closed_client_keeps_nothing(listener: socket.socket) -> None:
     """Neither idle connections nor those that were in use."""
     fleet = Fleet(listener)
-    resting = fleet.kept()
+    idle = fleet.kept()
     fleet.client.close()
-    assert closed(resting)
+    assert closed(idle)
     assert closed(fleet.kept())
 
 
@@ -230,11 +230,11 @@
     """Instance, load and not-run are read and not forwarded to the caller."""
     fleet = Fleet(listener, PLAIN)
     base = b"X-Id: r1\r\nContent-Length: 2\r\n"
-    told = b"X-Instance: i7\r\nX-Load: 3, 4,8\r\nDate: d\r\nServer: s\r\nRoadpass-A: b\r\n"
-    got = exchange(fleet, OK + base + told + b"\r\nhi")
+    fleet_headers = b"X-Instance: i7\r\nX-Load: 3, 4,8\r\nDate: d\r\nServer: s\r\nRoadpass-A: b\r\n"
+    got = exchange(fleet, OK + base + fleet_headers + b"\r\nhi")
     assert (got.not_run, got.instance, got.load) == (False, "i7", TargetLoad(3, 4, 8))
-    kept = [("X-Id", "r1"), ("Date", "d"), ("Server", "s"), ("Roadpass-A", "b")]
-    assert got.answer.headers == kept
+    forwarded = [("X-Id", "r1"), ("Date", "d"), ("Server", "s"), ("Roadpass-A", "b")]
+    assert got.answer.headers == forwarded
     got = exchange(fleet, b"HTTP/1.1 503 No\r\n" + base + b"X-Not-Run: shed\r\n\r\nhi")
     assert (got.not_run, got.instance, got.load) == (True, "", None)
     assert got.answer.headers == [("X-Id", "r1")]
@@ -318,9 +318,9 @@
 
     def serve() -> None:
         sock, _ = listener.accept()
-        told = re.search(rb"Deadline-Ms: (\d+)", sock.recv(65536))
-        assert told is not None
-        time.sleep(int(told[1]) / 1000.0 + 0.02)
+        sent = re.search(rb"Deadline-Ms: (\d+)", sock.recv(65536))
+        assert sent is not None
+        time.sleep(int(sent[1]) / 1000.0 + 0.02)
         sock.sendall(b"HTTP/1.1 504 Late\r\nContent-Length: 4\r\n\r\nlate")
 
     threading.Thread(target=serve, daemon=True).start()
--- a/tests/test_target_end.py
+++ b/tests/test_target_end.py
@@ -16,17 +16,17 @@
 def test_a_target_is_down_until_a_check_finds_it_back() -> None:
     """Each check costs a connection, so not every call makes one."""
     end = TargetExit("t")
-    looks: list[bool] = []
+    checks: list[bool] = []
 
-    def look(gone: bool) -> bool:
-        looks.append(gone)
+    def check(gone: bool) -> bool:
+        checks.append(gone)
         return gone
 
     end.record(10.0)
-    assert end.still_down(10.01, lambda: look(False))
-    assert looks == []
-    assert end.still_down(10.0 + 1.5 * CHECK_INTERVAL_S, lambda: look(True))
-    assert end.still_down(10.0 + 2.0 * CHECK_INTERVAL_S, lambda: look(False))
-    assert not end.still_down(10.0 + 3.0 * CHECK_INTERVAL_S, lambda: look(False))
-    assert looks == [True, False]
+    assert end.still_down(10.01, lambda: check(False))
+    assert checks == []
+    assert end.still_down(10.0 + 1.5 * CHECK_INTERVAL_S, lambda: check(True))
+    assert end.still_down(10.0 + 2.0 * CHECK_INTERVAL_S, lambda: check(False))
+    assert not end.still_down(10.0 + 3.0 * CHECK_INTERVAL_S, lambda: check(False))
+    assert checks == [True, False]
     assert not end.down
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -143,7 +143,7 @@
         "an answer is whole or an error",
         "roadpass/target_connection.py",
         "            raise TargetLostError("
-        '"The target\'s connection ended before its answer was whole.")',
+        '"The target\'s connection ended before the response was complete.")',
         "            return self._finish()",
         "tests/test_scenario.py::test_scenario[gray_cut_answers]",
     ),
