--- a/roadpass/local.py
+++ b/roadpass/local.py
@@ -37,7 +37,7 @@
 """Maximum rise of a target's failure probability during the wait of a request that cannot be
 retried: about the cost of sending it to another target."""
 BREAKER_RETRY_MS = 600
-"""Minimum `Retry-After` of a tripped circuit breaker, in milliseconds: every ingress asks again and
+"""Minimum retry-after of a tripped circuit breaker, in milliseconds: every ingress asks again and
 failure periods last seconds, but the breaker recovers only through requests."""
 
 
