--- a/tests/test_target_connection.py
+++ b/tests/test_target_connection.py
@@ -260,7 +260,9 @@
         (b"HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\n\r\n", TargetProtocolError),
     ],
 )
-def test_lost_or_garbled(listener: socket.socket, answer: bytes, error: type[TargetError]) -> None:
+def test_connection_lost_or_invalid_response(
+    listener: socket.socket, answer: bytes, error: type[TargetError]
+) -> None:
     """A connection that ends early is distinguished from bytes that are no valid response."""
     with pytest.raises(error):
         exchange(Fleet(listener), answer)
