--- a/roadpass/node.py
+++ b/roadpass/node.py
@@ -80,8 +80,8 @@
         )
         self._router.sidecar = self._sidecar
         self._peers = PeerPool(self._sidecar.hello(), settings.keys, source=settings.address)
-        terms = settings.store.quota_policy if settings.store else QuotaPolicy()
-        self._quotas = Quotas(self._incarnation, terms)
+        policy = settings.store.quota_policy if settings.store else QuotaPolicy()
+        self._quotas = Quotas(self._incarnation, policy)
         self._dispatcher = Dispatcher(
             self._view,
             self._incarnation,
--- a/roadpass/quota.py
+++ b/roadpass/quota.py
@@ -1,18 +1,19 @@
-"""Quotas of customers over the whole fleet, without shared state: who counts, and what is told.
-
-A customer's requests come to any VM, and its limit holds for their sum. One node of the fleet, the
-owner, counts each customer: the ingresses tell it what came and what they admitted, and it tells
-them which share of what comes they may admit (`quota_ledger`). While a customer stays below its
-limit that share is all, so nothing waits for a word. A share wastes nothing where a customer has a
-few requests a second on each of a hundred ingresses: parts of the limit would be left over at one
-and missing at the next.
-
-What is admitted before the owner has heard of a sudden crowd is a debt that the shares then pay
-back. Whoever has no fresh word admits no more than its part of the limit by itself (`quota_gate`),
-so that nodes which cannot reach an owner, or each own a part of a fleet that fell apart, do not add
-up to more.
-
-These modules decide; they know no sockets, threads or clocks.
+"""Distributed rate limiting of customers over the whole fleet, without shared state.
+
+A customer's requests may arrive at any VM, and its limit applies to their sum. One node of the
+fleet, the owner, counts the requests of each customer: the ingresses report how many requests they
+received and admitted, and the owner replies with the share of requests that they may admit
+(`quota_ledger`). Below the limit that share is 1, so no request waits for a reply. The limit is
+handed out as a share of the traffic and not as a number of requests per ingress: with a few
+requests a second on each of a hundred ingresses, fixed parts would remain unused at one ingress and
+be exhausted at the next.
+
+Requests admitted before the owner knows of a sudden rise in traffic are a debt, which lower shares
+pay back afterwards. An ingress without a recent reply admits only its own part of the limit
+(`quota_gate`). So nodes that cannot reach an owner, or a partitioned fleet with an owner in each
+partition, do not exceed the limit in total.
+
+These modules contain only the decisions, without sockets, threads or clocks.
 """
 
 import hashlib
@@ -22,38 +23,42 @@
 from typing import NamedTuple
 
 WINDOW_S = 5.0
-"""Seconds of the windows in which a limit counts, where nobody sets them."""
+"""Default length of the windows in which a limit applies, in seconds."""
 TOLERANCE_USED = 0.25
-"""Share of what is borne beyond a limit that a customer may have for ever."""
+"""Share of the tolerated excess over a limit that a customer may use permanently."""
 IMMEDIATE_BURST_SHARE = 0.3
-"""Share of a burst that is there at once besides what lasts: windows that begin with it are passed
-by as much at the most, which is less than what is borne."""
+"""Share of a burst that is available immediately on top of the sustained rate. A window that begins
+with it exceeds the limit by at most this share of the burst, which is less than the tolerated
+excess."""
 RATE_MEMORY_S = 1.0
-"""Seconds over which requests a second are averaged, each moment weighing less than the next. An
-average of each ingress's own intervals would be twice too high where it has a request a second."""
+"""Time constant of the exponentially weighted request rate, in seconds. Averaging the intervals
+between requests at each ingress instead would give twice the true rate at one request a second."""
 REPORT_S = 0.5
-"""Seconds between an ingress's reports on a customer. With 1.0 a customer of 40 requests a second
-on 60 VMs, of which suddenly 16 times as many come, got 13 more in five seconds than is borne, with
-this 70 less."""
+"""Seconds between an ingress's reports on a customer. When the traffic of a customer with 40
+requests a second on 60 VMs rises 16-fold, an interval of 1.0 admits 13 requests more than tolerated
+in five seconds, and this interval 70 fewer than tolerated."""
 LIMITED_REPORT_S = 0.2
-"""The same once not all is admitted."""
+"""Seconds between reports while the customer is limited: its share is below 1, or a report is
+unanswered."""
 SHARE_MIN = 0.005
-"""Least share; a smaller one would hide from the owner that the crowd is over."""
+"""Smallest share that is assigned. With a smaller one the owner would not notice the end of a
+traffic peak."""
 IDLE_S = 30.0
-"""Seconds without a request after which a customer is forgotten."""
+"""Seconds without a request after which the state of a customer is discarded."""
 
 
 class Limit(NamedTuple):
-    """A customer's limit: in any window a rate times its length, and a burst on top.
+    """A customer's limit: in any window, the rate times the window length plus the burst.
 
-    Taken as a bucket that a burst fills once, a customer between the rate and what its windows
-    allow lost one in twenty requests of a quiet day, none of which was beyond its limit.
+    A token bucket filled once with the burst is stricter than that: with traffic between the rate
+    and what the windows allow, it refused one in twenty requests on a day with little traffic,
+    although none of them exceeded the limit.
 
     Args:
         rate_per_s: Requests a second.
-        burst: Requests on top.
-        window_s: Seconds of a window.
-        slack: Requests beyond what lasts that chance may bring in a moment.
+        burst: Requests per window in addition to the rate.
+        window_s: Length of a window in seconds.
+        slack: Requests above the sustained rate that random arrivals may bring in a moment.
     """
 
     rate_per_s: float
@@ -63,22 +68,22 @@
 
     @property
     def immediate_burst(self) -> float:
-        """Requests that may come at once besides what lasts."""
+        """Requests that may arrive at the same moment on top of the sustained rate."""
         return IMMEDIATE_BURST_SHARE * self.burst + self.slack
 
     @property
     def sustained_per_s(self) -> float:
-        """Requests a second that it allows for ever."""
+        """Requests a second that the limit allows permanently: the rate plus a burst per window."""
         return self.rate_per_s + self.burst / self.window_s
 
 
 class QuotaPolicy(NamedTuple):
-    """How exactly limits are to be kept, as the operators set it.
+    """How precisely limits are enforced, as configured by the operators.
 
     Args:
-        window_s: Seconds of the windows in which limits count.
-        excess_share: Share of a limit that is borne beyond it.
-        slack: Requests in a window that are borne beyond that.
+        window_s: Length in seconds of the windows in which limits apply.
+        excess_share: Tolerated excess as a share of the limit.
+        slack: Requests per window that are tolerated in addition.
     """
 
     window_s: float = WINDOW_S
@@ -86,11 +91,12 @@
     slack: float = 0.0
 
     def limit(self, rate_per_s: float, burst: float) -> Limit:
-        """Return the limit from which on a customer is refused.
+        """Return the limit that is enforced for a customer.
 
-        Its sum over the fleet is known a little late, so a customer that is just at its limit would
-        be refused by chance, and one slightly over it lost more than it was over. So it is refused
-        once it is `TOLERANCE_USED` into what is borne; the rest is left for what is known late.
+        The fleet's total is known with a delay. Enforcing the limit itself would refuse requests of
+        a customer exactly at its limit by chance, and more than the excess of a customer slightly
+        over it. So `TOLERANCE_USED` of the tolerated excess is granted, and the rest is left for
+        requests that the owner counts late.
         """
         beyond = 1.0 + TOLERANCE_USED * self.excess_share
         slack = TOLERANCE_USED * self.slack
@@ -99,14 +105,14 @@
 
 
 class Report(NamedTuple):
-    """What an ingress tells a customer's owner: counts since it tells this owner.
+    """An ingress's report to a customer's owner, with counts since its first report to this owner.
 
     Args:
-        customer: Its name.
-        epoch: Changes with each start of the ingress and with each owner.
-        wanted: Requests that came.
-        admitted: Of these, what may run or has run.
-        per_s: Requests a second that come, averaged over `RATE_MEMORY_S`.
+        customer: Name of the customer.
+        epoch: Changes with each start of the ingress and with each change of owner.
+        wanted: Requests received, admitted or not.
+        admitted: Of these, the ones admitted and not refunded.
+        per_s: Requests received a second, averaged over `RATE_MEMORY_S`.
     """
 
     customer: str
@@ -117,12 +123,13 @@
 
 
 class Allowance(NamedTuple):
-    """An owner's word to one ingress.
+    """An owner's reply to one ingress.
 
     Args:
-        customer: Its name.
-        share: Of what comes, that may be admitted.
-        part_per_s: Requests a second that are this ingress's part of the limit, by its demand.
+        customer: Name of the customer.
+        share: Share of the received requests that the ingress may admit.
+        part_per_s: This ingress's part of the limit, in requests a second and proportional to its
+            share of the demand.
     """
 
     customer: str
@@ -131,9 +138,10 @@
 
 
 def owner_of(customer: str, nodes: Iterable[str]) -> str:
-    """Return the node that counts a customer: each of a fleet's customers has another one.
+    """Return the owner of a customer by rendezvous hashing, empty without nodes.
 
-    When a node comes or goes only its own customers change hands. Empty without nodes.
+    This spreads the customers over the nodes. When a node joins or leaves, only the customers that
+    it owns change their owner.
     """
     name = customer.encode()
     return max(
@@ -145,19 +153,20 @@
 
 @dataclass(slots=True)
 class Rate:
-    """Requests a second, averaged over the last moments.
+    """Exponentially decaying average of requests a second.
 
-    What one node read and tells, another may read on: without further requests both read the same.
+    It decays by time alone, so a node that received a value from another one computes the same
+    later values as the sender does without new requests.
     """
 
     at: float
     per_s: float = 0.0
 
     def add(self, now: float, per_s: float) -> None:
-        """Add to the average; a request adds one in `RATE_MEMORY_S`."""
+        """Add to the average; one request adds `1 / RATE_MEMORY_S`."""
         self.per_s = self.read(now) + per_s
         self.at = max(self.at, now)
 
     def read(self, now: float) -> float:
-        """Return the average."""
+        """Return the average, decayed up to `now`."""
         return self.per_s * math.exp(min(0.0, self.at - now) / RATE_MEMORY_S)
--- a/roadpass/quota_gate.py
+++ b/roadpass/quota_gate.py
@@ -1,4 +1,4 @@
-"""What one ingress admits of each customer's requests, by its owner's word or by itself."""
+"""Admission of customers' requests at one ingress, by the owner's allowance or without one."""
 
 import math
 from collections.abc import Iterable
@@ -18,32 +18,33 @@
 )
 
 OWNER_TIMEOUT_S = 0.3
-"""Seconds from a report without a word after which an ingress is by itself: that report and the one
-after it are lost or cut. A word comes within 0.1 s. Until then the latest word holds, however old:
-without new requests there was nothing to tell. With a limit on a word's age instead a crowd that
-came in the moment of a cut was let through for that long, and rare requests of small customers were
-refused."""
+"""Seconds after an unanswered report until an ingress treats its owner as unreachable. A reply
+takes up to 0.1 s, so by then this report and the next were lost. Until then the latest allowance
+applies, however old, as without new requests there is nothing to report. A limit on the age of an
+allowance instead admitted a whole traffic peak for that time if it began with a network partition,
+and refused infrequent requests of small customers."""
 UNCONFIRMED_MAX = 2
-"""Requests of a customer that an ingress admits before it ever heard its owner: all nodes that
-start anew at once would else admit a crowd for that long."""
+"""Requests of a customer that an ingress admits before the first allowance. Without this limit all
+nodes that restart at the same time would admit a traffic peak for `OWNER_TIMEOUT_S`."""
 ISOLATED_SHARE = 0.35
-"""Share of its part of the limit that an ingress by itself admits: an owner that does not hear it
-hands out all that it holds, until it takes the ingress for dead some seconds later."""
+"""Share of its part of the limit that an ingress admits while its owner is unreachable. An owner
+that receives no reports from it hands out the whole limit to the others until it considers the
+ingress dead some seconds later."""
 RESEND_S = 2.0
-"""Seconds for which a report without a word is repeated although nothing new has come."""
+"""Seconds for which an unanswered report is sent again even without new requests."""
 SURGE_MIN = 1.0
-"""Requests beyond twice the usual after which an ingress reports at once."""
+"""Requests above twice the last reported rate at which an ingress reports immediately."""
 BUCKET_DEPTH = 1.0
-"""Requests at once that an ingress admits by itself."""
+"""Requests that an ingress may admit at the same moment while its owner is unreachable."""
 RETRY_MIN_S = 0.2
 RETRY_MAX_S = 5.0
-"""Bounds of the time after which a customer over its limit is told to come back."""
+"""Bounds of the retry delay given to a customer over its limit."""
 _ROUNDING = 1e-9
 
 
 @dataclass(slots=True)
 class _Demand:
-    """What an ingress knows of one customer."""
+    """State of one customer at an ingress; `reported_...` as of the last report to the owner."""
 
     limit: Limit
     seen_at: float
@@ -65,10 +66,10 @@
 
 
 class QuotaGate:
-    """What one ingress admits; the caller's lock guards it.
+    """Admits or refuses customers' requests at one ingress; not thread-safe, the caller locks.
 
     Args:
-        epoch: Of this process; higher than that of an earlier one.
+        epoch: Start epoch of this process, higher than that of any earlier process of this node.
     """
 
     def __init__(self, epoch: int) -> None:
@@ -77,20 +78,20 @@
 
     @property
     def size(self) -> int:
-        """Customers that are known."""
+        """Number of customers with state here."""
         return len(self._demands)
 
     def admit(self, now: float, customer: str, limit: Limit, fleet_size: int) -> float:
         """Decide on one request.
 
         Args:
-            now: Seconds.
-            customer: Whose it is.
-            limit: In force.
-            fleet_size: VMs that share the limit.
+            now: Clock seconds.
+            customer: Name of the customer.
+            limit: Limit that is enforced.
+            fleet_size: Number of VMs that share the limit.
 
         Returns:
-            0 if it is admitted, else the seconds after which there should be room.
+            0 if the request is admitted, else the seconds after which a retry should succeed.
         """
         demand = self._demands.get(customer)
         if demand is None:
@@ -105,13 +106,13 @@
         return _wait_s(now, demand, fleet_size)
 
     def refund(self, customer: str) -> None:
-        """Note that an admitted request has not run after all."""
+        """Take back the count of an admitted request that was not executed."""
         demand = self._demands.get(customer)
         if demand is not None:
             demand.admitted -= 1
 
     def receive(self, now: float, owner: str, allowance: Allowance) -> None:
-        """Take an owner's word; one of another node than the owner that was told says nothing."""
+        """Apply an allowance; ignored unless it comes from the node that was last reported to."""
         demand = self._demands.get(allowance.customer)
         if demand is None or demand.owner != owner:
             return
@@ -121,11 +122,13 @@
         demand.has_allowance = True
 
     def due(self, now: float, nodes: Iterable[str]) -> dict[str, list[Report]]:
-        """Return the reports that are due, by the owner to tell.
+        """Return the reports that are due, by the owner to send them to.
+
+        Also discards the state of customers without requests for `IDLE_S`.
 
         Args:
-            now: Seconds.
-            nodes: That are believed to live, this one included.
+            now: Clock seconds.
+            nodes: Nodes that are believed to be alive, including this one.
         """
         living = tuple(nodes)
         reports: dict[str, list[Report]] = {}
@@ -142,9 +145,8 @@
     def _admits(self, now: float, demand: _Demand, fleet_size: int) -> bool:
         even_per_s = demand.limit.sustained_per_s / max(1, fleet_size)
         assigned_per_s = demand.part_per_s if demand.has_allowance else even_per_s
-        part_per_s = (
-            ISOLATED_SHARE * (assigned_per_s + even_per_s) / 2.0
-        )  # adds up to one over the fleet
+        # Over the whole fleet both of these parts add up to the limit, and so does their mean.
+        part_per_s = ISOLATED_SHARE * (assigned_per_s + even_per_s) / 2.0
         earned = (now - demand.tokens_at) * part_per_s
         demand.tokens = min(max(BUCKET_DEPTH, part_per_s), demand.tokens + earned)
         demand.tokens_at = now
@@ -165,14 +167,14 @@
     def _is_due(self, now: float, demand: _Demand) -> bool:
         new = demand.wanted - demand.reported_wanted
         age_s = now - demand.reported_at
-        if not new:  # a report or its word was lost, or the owner is gone
+        if not new:  # the report or its reply was lost, or the owner is unreachable
             return age_s >= LIMITED_REPORT_S and 0.0 <= now - demand.unanswered_since <= RESEND_S
         if demand.share < 1.0 or demand.unanswered_since < math.inf:
             return age_s >= LIMITED_REPORT_S
         return age_s >= REPORT_S or new > SURGE_MIN + 2.0 * demand.reported_per_s * age_s
 
     def _set_owner(self, demand: _Demand, owner: str) -> None:
-        """Begin to tell an owner; what was told another one does not concern it."""
+        """Change the owner; counts reported to the previous owner are not reported again."""
         self._epoch += 1
         demand.owner, demand.epoch = owner, self._epoch
         demand.admitted = min(demand.admitted, demand.wanted - demand.reported_wanted)
@@ -188,7 +190,7 @@
 
 
 def _wait_s(now: float, demand: _Demand, fleet_size: int) -> float:
-    """Return when this ingress will probably admit the next request of a customer."""
+    """Estimate the seconds until this ingress admits the next request of a customer."""
     admitted_per_s = max(
         demand.share * demand.rate.read(now),
         demand.limit.sustained_per_s / max(1, fleet_size),
--- a/roadpass/quota_keeper.py
+++ b/roadpass/quota_keeper.py
@@ -1,4 +1,4 @@
-"""Keeps customers' quotas with the other nodes: what is told, to whom, and when."""
+"""Exchanges quota reports and allowances with the other nodes."""
 
 import logging
 import threading
@@ -16,18 +16,19 @@
 from roadpass.view import View
 
 TICK_S = 0.1
-"""Seconds between looks at what other nodes should hear: a sudden crowd is told at once."""
+"""Seconds between checks for due reports, short so that a sudden rise in traffic is reported
+quickly."""
 MAX_ROWS_BYTES = 500
-"""Bytes of rows in one datagram: they leave room for what every datagram tells."""
+"""Bytes of rows in one datagram; the rest is left for the fields that every datagram carries."""
 ROW_BYTES = 30
-"""Bytes of a row without the customer's name."""
+"""Estimated size in bytes of a row without the customer's name."""
 
 _log = logging.getLogger("roadpass.quota")
 _Row = TypeVar("_Row", Report, Allowance)
 
 
 class QuotaMessage(NamedTuple):
-    """What one node tells another of customers' quotas."""
+    """Quota reports or allowances from or to one node; `vm` is the other node."""
 
     vm: str
     reports: tuple[Report, ...] = ()
@@ -35,37 +36,38 @@
 
 
 class Tick(NamedTuple):
-    """Time passes."""
+    """Triggers the periodic check for due reports."""
 
 
 class Quotas:
-    """What the threads of one ingress ask before they take a customer's request.
+    """Quota checks of one ingress; safe for any thread.
 
     Args:
-        epoch: Of this process; higher than that of an earlier one.
-        terms: How exactly limits are to be kept.
+        epoch: Start epoch of this process, higher than that of any earlier process of this node.
+        policy: How precisely limits are enforced.
     """
 
-    def __init__(self, epoch: int = 1, terms: QuotaPolicy = QuotaPolicy()) -> None:  # noqa: B008
-        self._terms = terms
+    def __init__(self, epoch: int = 1, policy: QuotaPolicy = QuotaPolicy()) -> None:  # noqa: B008
+        self._policy = policy
         self._gate = QuotaGate(epoch)
         self._lock = threading.Lock()
 
-    def set_policy(self, terms: QuotaPolicy) -> None:
-        """Put other terms in force."""
-        self._terms = terms
+    def set_policy(self, policy: QuotaPolicy) -> None:
+        """Replace the policy; it applies from the next request on."""
+        self._policy = policy
 
     def limit_of(self, customer: Customer) -> Limit:
-        """Return the limit from which on a customer is refused."""
-        return self._terms.limit(customer.rate_per_s, customer.burst)
+        """Return the limit that is enforced for a customer."""
+        return self._policy.limit(customer.rate_per_s, customer.burst)
 
     def quota_wait_s(self, now: float, customer: Customer | None, fleet_size: int) -> float:
-        """Return the seconds after which a request has room, 0 if it is admitted.
+        """Return the seconds after which to retry a request, 0 if it is admitted.
 
         Args:
             now: Clock seconds.
-            customer: Whose it is; nobody's is admitted, and one without a limit.
-            fleet_size: VMs that share the limit.
+            customer: Customer of the request. Requests without a customer, or of one without a
+                limit, are always admitted.
+            fleet_size: Number of VMs that share the limit.
         """
         if customer is None or customer.rate_per_s <= 0.0:
             return 0.0
@@ -74,30 +76,30 @@
             return self._gate.admit(now, customer.name, limit, fleet_size)
 
     def refund(self, customer: Customer | None) -> None:
-        """Note that an admitted request has not run after all."""
+        """Take back the count of an admitted request that was not executed."""
         if customer is not None and customer.rate_per_s > 0.0:
             with self._lock:
                 self._gate.refund(customer.name)
 
     def receive(self, now: float, owner: str, allowances: Sequence[Allowance]) -> None:
-        """Take an owner's words."""
+        """Apply the allowances that an owner sent."""
         with self._lock:
             for allowance in allowances:
                 self._gate.receive(now, owner, allowance)
 
     def due(self, now: float, nodes: Sequence[str]) -> dict[str, list[Report]]:
-        """Return the reports that are due, by the node to tell."""
+        """Return the reports that are due, by the node to send them to."""
         with self._lock:
             return self._gate.due(now, nodes)
 
 
 class QuotaCoordinator(Actor):
-    """Owns what this node counts of the customers that it owns, and tells what is to be told.
+    """Owns this node's quota ledger, sends reports to other owners and answers reports.
 
     Args:
-        quotas: Of the own ingress.
-        view: Tells the customers' limits and the nodes.
-        send: Tells another node; it must not block.
+        quotas: Quota checks of the local ingress.
+        view: Has the customers' limits and the nodes.
+        send: Sends a message to another node; must not block.
     """
 
     def __init__(self, quotas: Quotas, view: View, send: Callable[[QuotaMessage], None]) -> None:
@@ -111,11 +113,11 @@
         self._ticker = Ticker("quota-tick", TICK_S, self._queue_tick)
 
     def on_start(self) -> None:
-        """Begin to look."""
+        """Start the ticker."""
         self._ticker.start()
 
     def on_stop(self) -> None:
-        """Stop to look."""
+        """Stop the ticker."""
         self._ticker.stop()
 
     def handle(self, message: Any) -> None:
@@ -148,7 +150,7 @@
                 self._send(QuotaMessage(owner, reports=tuple(rows)))
 
     def _reply(self, vm: str, reports: Sequence[Report]) -> None:
-        """Count what an ingress tells, and tell it what it may admit."""
+        """Charge an ingress's reports, and send it its allowances."""
         now = clock.now()
         allowances = [
             allowance
@@ -171,7 +173,7 @@
         return allowance
 
     def _log_change(self, allowance: Allowance, limit: Limit) -> None:
-        """Log that a customer has come over its limit, or is below it again."""
+        """Log when a customer exceeds its limit, and when it is below it again."""
         limited = allowance.share < 1.0
         if limited is (allowance.customer in self._limited):
             return
@@ -186,18 +188,18 @@
         )
 
     def _owners(self) -> list[str]:
-        """Return the nodes among which the customers are divided."""
+        """Return the nodes that own customers: this one and all that are alive and not leaving."""
         nodes = self._view.nodes.copy().values()
         return [self._view.vm, *(n.vm for n in nodes if n.alive and not n.leaving)]
 
     def _alive_share(self) -> float:
-        """Return the share of the fleet's VMs that this node believes to live."""
+        """Return the share of the fleet's VMs that this node believes to be alive."""
         alive = 1 + sum(node.alive for node in self._view.nodes.copy().values())
         return min(1.0, alive / max(1, self._view.fleet.size))
 
 
 def _batches(rows: Sequence[_Row]) -> Iterator[list[_Row]]:
-    """Divide rows so that each part fits into a datagram."""
+    """Split rows so that each batch fits into a datagram."""
     batch: list[_Row] = []
     size = 0
     for row in rows:
--- a/roadpass/quota_ledger.py
+++ b/roadpass/quota_ledger.py
@@ -1,23 +1,23 @@
-"""What the owner of a customer counts, and what it lets each ingress admit."""
+"""Accounting of customers' requests at their owner, and the allowance of each ingress."""
 
 from dataclasses import dataclass, field
 
 from roadpass.quota import IDLE_S, SHARE_MIN, Allowance, Limit, Rate, Report
 
 INGRESS_EXPIRY_S = 10.0
-"""Seconds after which an ingress that tells nothing is forgotten."""
+"""Seconds without a report after which an ingress is dropped from an account."""
 REFILL_S = 1.0
-"""Seconds in which what is left of a burst is handed out, or a debt is paid back."""
+"""Seconds over which the rest of a burst is handed out, or a debt is paid back."""
 FIRST_REPORT_MAX = 10
-"""Requests that an owner counts of an ingress's first report; an older one's count goes far back,
-to before this owner was the owner."""
+"""Largest request count in an ingress's first report that is charged to the account. A higher count
+includes requests from before this node became the owner."""
 MAX_DEBT_S = 3.0
-"""Seconds' worth of the limit that a debt has at the most: nobody is shut out for longer."""
+"""Largest debt, as seconds of the limit's rate, so no customer is refused entirely for longer."""
 
 
 @dataclass(slots=True)
 class _Ingress:
-    """What an owner knows of one ingress's part of a customer's requests."""
+    """Latest report of one ingress on a customer."""
 
     epoch: int
     wanted: int
@@ -28,10 +28,10 @@
 
 @dataclass(slots=True)
 class _Account:
-    """What an owner knows of one customer; it begins with nothing of its burst.
+    """An owner's account of one customer.
 
-    Nothing of what lasts on top of the rate is handed out in its first window either: another owner
-    may have handed it out before.
+    It starts without any burst, and during its first window only the plain rate is handed out, not
+    the burst spread over the window: a previous owner may have handed that out already.
     """
 
     opened_at: float
@@ -42,31 +42,31 @@
 
 
 class QuotaLedger:
-    """What one node counts of the customers that it owns; pure, for one thread."""
+    """Accounts of the customers that one node owns; not thread-safe."""
 
     def __init__(self) -> None:
         self._accounts: dict[str, _Account] = {}
 
     @property
     def size(self) -> int:
-        """Customers that are counted."""
+        """Number of accounts."""
         return len(self._accounts)
 
     def apply_report(
         self, now: float, ingress: str, report: Report, limit: Limit, alive_share: float
     ) -> Allowance:
-        """Take a report in.
+        """Charge a report to the customer's account.
 
         Args:
-            now: Seconds.
-            ingress: Who tells.
-            report: What it tells.
-            limit: In force here.
-            alive_share: Of the VMs that share the limit, those that this node believes to live:
-                in a part of a fleet that fell apart, an owner hands out that part of the limit.
+            now: Clock seconds.
+            ingress: Name of the node that sent the report.
+            report: Its counts.
+            limit: Limit that is enforced.
+            alive_share: Share of the VMs under the limit that this node believes to be alive. In a
+                partition of the fleet an owner hands out only that share of the limit.
 
         Returns:
-            The word to that ingress, which waits for one.
+            The allowance to send back to that ingress.
         """
         account = self._accounts.get(report.customer)
         if account is None:
@@ -81,7 +81,7 @@
         return self._allowance(now, account, ingress, report.customer, rate_per_s)
 
     def expire_idle(self, now: float) -> None:
-        """Drop the customers and ingresses that nothing was heard of for long."""
+        """Drop customers without a report for `IDLE_S`, ingresses for `INGRESS_EXPIRY_S`."""
         for name, account in list(self._accounts.items()):
             for vm, one in list(account.ingresses.items()):
                 if now - one.at > INGRESS_EXPIRY_S:
@@ -91,7 +91,7 @@
 
     @staticmethod
     def _count(now: float, account: _Account, ingress: str, report: Report) -> int:
-        """Note an ingress's counts; return how many requests it has admitted since the last."""
+        """Store an ingress's counts; return the requests admitted since its previous report."""
         known = account.ingresses.get(ingress)
         if known is None or known.epoch != report.epoch:
             known = _Ingress(report.epoch, 0, 0, now, Rate(now))
@@ -99,7 +99,7 @@
             if report.wanted > FIRST_REPORT_MAX:
                 known.wanted, known.admitted = report.wanted, report.admitted
         wanted = report.wanted - known.wanted
-        if wanted < 0:  # an older datagram that was overtaken
+        if wanted < 0:  # datagram delivered out of order
             return 0
         admitted = report.admitted - known.admitted
         account.rate.add(now, report.per_s - known.rate.read(now))
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -1,7 +1,7 @@
-"""A customer's limit over a fleet that shares no state: never much over, and nothing below refused.
+"""Distributed rate limits: little is admitted above a limit, and nothing below it refused.
 
-What a fleet may admit in five seconds: its limit, a quarter more, and 20 requests. What it refuses
-below the limit is measured against a bucket that knows everything.
+In five seconds a fleet may admit the limit, a quarter more, and 20 requests. Refusals below the
+limit are compared with a token bucket that sees every request at once.
 """
 
 from collections.abc import Callable
@@ -21,15 +21,15 @@
 NAME = "library"
 
 
-def crowd(
-    usual: float, later: float, *, rate: float = LIMIT.rate_per_s
+def peak(
+    before: float, later: float, *, rate: float = LIMIT.rate_per_s
 ) -> Callable[[float], float]:
-    """Return requests a second, as shares of a rate, before and after eight seconds."""
-    return lambda at: rate * (usual if at < 8.0 else later)
+    """Return requests a second over time: shares of `rate` before and after eight seconds."""
+    return lambda at: rate * (before if at < 8.0 else later)
 
 
-def play(per_s: Callable[[float], float], limit: Limit = LIMIT, **options: object) -> Fleet:
-    """Play twenty seconds."""
+def simulate(per_s: Callable[[float], float], limit: Limit = LIMIT, **options: object) -> Fleet:
+    """Simulate twenty seconds."""
     return Fleet.run(Play(limit, per_s, nodes=NODES, seconds=20.0, **options))  # type: ignore[arg-type]
 
 
@@ -39,17 +39,17 @@
 
 
 def halves(node: int, at: float) -> int:
-    """Cut a fleet in two for some seconds."""
+    """Partition the fleet into two halves for eight seconds."""
     return node % 2 if 8.0 < at < 16.0 else 0
 
 
 def third_alone(node: int, at: float) -> int:
-    """Cut a third of the nodes from all others for some seconds."""
+    """Isolate each node of one third of the fleet for eight seconds."""
     return node if node < NODES // 3 and 8.0 < at < 16.0 else -1
 
 
 def all_alone(node: int, at: float) -> int:
-    """Cut every node from every other for some seconds."""
+    """Isolate every node for eight seconds."""
     return node if 8.0 < at < 16.0 else -1
 
 
@@ -67,18 +67,18 @@
         {"apart": all_alone},
     ],
 )
-def test_a_sudden_crowd_stays_within_what_is_borne(options: dict[str, object], rate: float) -> None:
-    """Whatever is cut, lost or started anew while it lasts."""
-    fleet = play(crowd(0.45, 3.4, rate=rate), Limit(rate, rate), **options)
+def test_sudden_peak_stays_within_tolerated_excess(options: dict[str, object], rate: float) -> None:
+    """Also with lost datagrams, restarts and partitions while the peak lasts."""
+    fleet = simulate(peak(0.45, 3.4, rate=rate), Limit(rate, rate), **options)
     assert fleet.overrun(WINDOW_S, OVER, SLACK) <= 0.0
-    fleet = play(crowd(3.4, 3.4, rate=rate), Limit(rate, rate), **options)
+    fleet = simulate(peak(3.4, 3.4, rate=rate), Limit(rate, rate), **options)
     assert fleet.overrun(WINDOW_S, OVER, SLACK) <= 0.0
 
 
-def test_a_crowd_of_seven_times_the_limit() -> None:
-    """Known within half a second, wherever it comes."""
+def test_peak_of_seven_times_the_limit() -> None:
+    """The owner knows of the peak within half a second, whichever VMs receive it."""
     for weights in ((), ONE_VM, SOME_VMS):
-        fleet = play(crowd(0.45, 7.5), weights=weights)
+        fleet = simulate(peak(0.45, 7.5), weights=weights)
         assert fleet.overrun(WINDOW_S, OVER, SLACK) <= 0.0
 
 
@@ -87,41 +87,39 @@
     [{}, {"lost": 0.1}, {"weights": ONE_VM}, {"weights": SOME_VMS}, {"restarts": ALL_RESTART}],
 )
 @pytest.mark.parametrize("limit", [Limit(5.0, 5.0), LIMIT, Limit(200.0, 200.0)])
-def test_a_customer_below_its_limit_loses_next_to_nothing(
-    options: dict[str, object], limit: Limit
-) -> None:
-    """Under half of it, as customers usually are: one in a hundred requests at the most."""
-    fleet = play(crowd(0.45, 0.45, rate=limit.rate_per_s), limit, **options)
+def test_customer_below_limit_is_rarely_refused(options: dict[str, object], limit: Limit) -> None:
+    """At 45% of the limit, a typical load, at most one request in a hundred is refused."""
+    fleet = simulate(peak(0.45, 0.45, rate=limit.rate_per_s), limit, **options)
     refused = sum(not one.admitted for one in fleet.requests)
     assert refused <= 0.01 * len(fleet.requests)
 
 
 @pytest.mark.parametrize("rate", [40.0, 200.0])
 @pytest.mark.parametrize("weights", [(), ONE_VM, SOME_VMS])
-def test_a_customer_between_its_rate_and_what_its_windows_allow_loses_little(
+def test_customer_between_rate_and_window_limit_is_rarely_refused(
     weights: tuple[float, ...], rate: float
 ) -> None:
-    """A burst on top of a rate, in windows of five seconds, allows a fifth more for ever.
+    """A burst per window of five seconds permanently allows a fifth more than the rate.
 
-    On a quiet day one such customer lost one in four of its requests to a bucket that a burst fills
-    once, and none of them was beyond its limit. Aim: one in fifty, of rates at which chance alone
-    seldom fills a window.
+    A token bucket filled once with the burst refused one in four requests of such a customer on a
+    day with little traffic, although none exceeded the limit. At most one in fifty may be refused,
+    at rates where random arrivals alone seldom fill a window.
     """
-    fleet = play(crowd(1.05, 1.05, rate=rate), Limit(rate, rate), weights=weights)
-    later = [one for one in fleet.requests if one.at >= WINDOW_S]  # an owner's first hands out less
+    fleet = simulate(peak(1.05, 1.05, rate=rate), Limit(rate, rate), weights=weights)
+    later = [one for one in fleet.requests if one.at >= WINDOW_S]  # the first window allows less
     refused = sum(not one.admitted for one in later)
     assert refused <= 0.02 * len(later)
 
 
-def test_a_customer_over_its_limit_gets_all_of_it() -> None:
-    """Of what a bucket with perfect knowledge admits, 95 of 100 at least."""
+def test_customer_over_limit_gets_the_whole_limit() -> None:
+    """At least 95% of what a bucket with perfect knowledge admits."""
     for weights in ((), ONE_VM, SOME_VMS):
-        assert play(crowd(0.45, 3.4), weights=weights).wrongly_refused() <= 0.05
+        assert simulate(peak(0.45, 3.4), weights=weights).wrongly_refused() <= 0.05
 
 
-def test_a_lower_limit_holds_a_window_later() -> None:
-    """In the middle of a crowd, as soon as the nodes know it."""
-    before = Fleet(Play(Limit(200.0, 200.0), crowd(1.5, 1.5), nodes=NODES, seconds=10.0), 1)
+def test_lowered_limit_applies_during_a_peak() -> None:
+    """A limit lowered during a traffic peak applies as soon as the nodes know of it."""
+    before = Fleet(Play(Limit(200.0, 200.0), peak(1.5, 1.5), nodes=NODES, seconds=10.0), 1)
     low = Limit(20.0, 20.0)
     ledger, gate = QuotaLedger(), QuotaGate(1)
     owner, admitted = before._names[0], []
@@ -135,16 +133,16 @@
     assert late <= (low.rate_per_s * WINDOW_S + low.burst) * (1.0 + OVER) + SLACK
 
 
-def test_a_node_that_starts_hands_out_no_fresh_burst() -> None:
-    """An owner begins an account with what lasts, and nothing that is there at once."""
+def test_new_owner_hands_out_no_burst() -> None:
+    """A new account starts with the plain rate and without an immediate burst."""
     ledger = QuotaLedger()
     limit = Limit(10.0, 100.0)
     word = ledger.apply_report(0.0, "vm", Report(NAME, 1, 5, 5, 100.0), limit, 1.0)
     assert word.share <= 0.01 + limit.rate_per_s / 100.0
 
 
-def test_words_are_taken_from_the_owner_that_was_told_only() -> None:
-    """Another node's word, or one on a customer nobody asked about, changes nothing."""
+def test_allowances_are_accepted_from_the_reported_owner_only() -> None:
+    """Allowances from another node, or for a customer without a report, change nothing."""
     gate = QuotaGate(1)
     gate.admit(0.0, NAME, LIMIT, NODES)
     assert set(gate.due(0.1, ["a"])) == {"a"}
@@ -157,8 +155,8 @@
     assert all(RETRY_MIN_S <= wait <= RETRY_MAX_S for wait in waits[1:])
 
 
-def test_what_has_not_run_is_given_back() -> None:
-    """A request that no target took does not count."""
+def test_refunded_request_is_not_reported() -> None:
+    """A request that no target executed is taken out of the reported counts."""
     gate = QuotaGate(1)
     gate.admit(0.0, NAME, LIMIT, NODES)
     gate.due(0.1, ["a"])
@@ -171,15 +169,15 @@
     assert (report.wanted, report.admitted) == (5, 4)
 
 
-def test_before_an_owner_was_heard_few_are_admitted() -> None:
-    """Else all nodes that start anew at once would admit a crowd for a third of a second."""
+def test_few_are_admitted_before_the_first_allowance() -> None:
+    """Otherwise all nodes restarting at once would admit a traffic peak for a third of a second."""
     gate = QuotaGate(1)
     admitted = sum(gate.admit(0.001 * n, NAME, LIMIT, NODES) == 0.0 for n in range(50))
     assert admitted == UNCONFIRMED_MAX
 
 
-def test_a_customer_has_one_owner_and_keeps_it_while_others_come_and_go() -> None:
-    """Whatever the order in which nodes are known; the customers are spread over all."""
+def test_owner_is_stable_while_other_nodes_join_and_leave() -> None:
+    """The order of the nodes is irrelevant, and all nodes own some of the customers."""
     nodes = [f"10.0.0.{number}" for number in range(40)]
     names = [f"customer-{number}" for number in range(400)]
     owners = {name: owner_of(name, nodes) for name in names}
@@ -203,10 +201,10 @@
         max_size=80,
     )
 )
-def test_in_any_order_of_events_the_state_makes_sense(
+def test_state_is_consistent_for_any_order_of_events(
     steps: list[tuple[float, str, str, float]],
 ) -> None:
-    """Shares stay shares, counts never fall back, and an idle customer is forgotten."""
+    """Shares stay between 0 and 1, counts are consistent, and an idle customer is discarded."""
     gate, ledgers, now = QuotaGate(1), {"a": QuotaLedger(), "b": QuotaLedger()}, 0.0
     words: list[tuple[str, Allowance]] = []
     for wait_s, what, vm, share in steps:
@@ -233,8 +231,8 @@
     assert gate.size == 0
 
 
-def test_by_itself_an_ingress_admits_its_part_of_the_limit() -> None:
-    """Once no owner has been heard for long, be it that it never was."""
+def test_isolated_ingress_admits_its_part_of_the_limit() -> None:
+    """While no owner replies, also when none ever did."""
     gate = QuotaGate(1)
     admitted = 0
     for step in range(4000):
