--- a/roadpass/admission.py
+++ b/roadpass/admission.py
@@ -1,4 +1,6 @@
-"""Admission at the sidecar: slots, short queues by class, reserved shares, fairness, deadlines."""
+"""Admission control at the sidecar: concurrency slots, short queues per traffic class, reserved
+shares, fairness among callers, deadlines.
+"""
 
 from collections import OrderedDict, deque
 from collections.abc import Sequence
@@ -10,17 +12,19 @@
 
 MIN_RETRY_AFTER_MS = 100
 SHORT_SHARE = 0.75
-"""A request that usually takes at most this share of the mean time goes before all that wait: it
-delays them by little, and is often a call that a running request waits for, slot in hand."""
+"""A request whose typical latency is at most this share of the mean service time is put before all
+queued requests: it delays them little, and is often a nested call that a running request waits for
+while it holds a slot."""
 SHORT_TURNS = 2
-"""Turns in a row that short requests take before one of the others has its turn: a flood of short
-ones never starves them."""
+"""Short requests granted in a row before one of the others, so that a flood of short requests does
+not starve these."""
 RETRY_QUEUE_SHARE = 0.25
-"""Retries wait only while the queue is under this share of its limit: they are shed first."""
+"""Retries are queued only while the queue is below this share of its limit, so they are shed
+first."""
 
 
 class Ticket:
-    """A request that waits for a slot; `signal` belongs to whoever waits."""
+    """A queued request; `signal` is set and used by the waiting code only."""
 
     __slots__ = ("caller", "expires_at", "granted", "short", "signal", "traffic_class")
 
@@ -37,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Admitted:
-    """The request may run at once; its slot must be released."""
+    """The request may start immediately; its slot must be released."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,8 +49,8 @@
     """The request waits until its ticket is granted or abandoned.
 
     Attributes:
-        ticket: To wait on.
-        displaced: A ticket that lost its place to this one and never will be granted.
+        ticket: Ticket to wait on.
+        displaced: Ticket removed from the queue in favour of this one; it will never be granted.
     """
 
     ticket: Ticket
@@ -55,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """The request was not taken."""
+    """The request was rejected, with the delay after which to retry."""
 
     reason: Reason
     retry_after_ms: int
@@ -65,7 +69,7 @@
 
 
 class _ClassState:
-    """Use and queue of one class; callers take turns."""
+    """Slots in use and queue of one class, round robin among callers."""
 
     def __init__(self, reserved: float) -> None:
         self.reserved = reserved
@@ -101,12 +105,12 @@
 
 
 class Admission:
-    """Decides, for one target, which request runs now, waits, or is refused at once.
+    """Decides for one target whether a request starts now, is queued, or is refused immediately.
 
     Args:
-        classes: The service's classes, the most important first.
-        slots: Requests the target runs at once.
-        queue_limit: Requests that may wait.
+        classes: Traffic classes of the service, the most important first.
+        slots: Requests that the target runs concurrently.
+        queue_limit: Maximum number of queued requests.
     """
 
     def __init__(self, classes: Sequence[TrafficClass], *, slots: int, queue_limit: int) -> None:
@@ -121,16 +125,16 @@
 
     @property
     def in_use(self) -> int:
-        """Requests that hold a slot."""
+        """Number of slots in use."""
         return self._in_use
 
     @property
     def waiting(self) -> int:
-        """Requests in the queue."""
+        """Number of queued requests."""
         return len(self._short) + sum(state.waiting for state in self._classes.values())
 
     def set_limit(self, slots: int, service_ms: float) -> None:
-        """Take over the adaptive limit and the measured service time."""
+        """Set the adaptive concurrency limit and the measured mean service time."""
         self._slots = slots
         self._service_ms = service_ms
 
@@ -147,13 +151,13 @@
         """Decide on a new request.
 
         Args:
-            now: Seconds.
+            now: Clock seconds.
             traffic_class: Name of its class; an unknown one counts as the least important.
-            caller: Who asks, for turns among callers.
-            remaining_s: Time until its deadline.
+            caller: Identity of the caller, for fairness among callers.
+            remaining_s: Seconds until its deadline.
             retry: Whether it is a retry, which is shed first.
-            typical_ms: Milliseconds that one of its kind usually takes, 0 if unknown: a short one
-                still meets a deadline that the mean of all kinds would miss.
+            typical_ms: Typical latency of such requests in milliseconds, 0 if unknown. With it a
+                short request meets a deadline that the mean service time would miss.
         """
         name = traffic_class if traffic_class in self._classes else self._last_class
         state = self._classes[name]
@@ -179,11 +183,11 @@
         return Queued(ticket, displaced)
 
     def expected_wait_ms(self, traffic_class: str, typical_ms: float = 0.0) -> float:
-        """Return how long a new request of a class would probably wait, 0 if a slot is free.
+        """Estimate the wait of a new request in milliseconds, 0 if a slot is free.
 
         Args:
             traffic_class: Name of its class.
-            typical_ms: Milliseconds that one of its kind usually takes, 0 if unknown.
+            typical_ms: Typical latency of such requests in milliseconds, 0 if unknown.
         """
         name = traffic_class if traffic_class in self._classes else self._last_class
         if self.waiting == 0 and self._may_run(name):
@@ -191,11 +195,11 @@
         return max(1.0, self._expected_wait_ms(name, short=self._is_short(typical_ms)))
 
     def release(self, now: float, traffic_class: str) -> list[Ticket]:
-        """Give a slot back.
+        """Release a slot.
 
         Returns:
-            The tickets that are granted by it. Expired ones are dropped: who waits on them
-            sees its own deadline pass.
+            The tickets granted as a result. Expired tickets are dropped without notice, as their
+            waiting threads time out at the same deadline.
         """
         name = traffic_class if traffic_class in self._classes else self._last_class
         self._classes[name].in_use -= 1
@@ -203,7 +207,11 @@
         return self._grant(now)
 
     def abandon(self, now: float, ticket: Ticket) -> list[Ticket]:
-        """Give up a ticket, whether it was granted in the meantime or not."""
+        """Cancel a ticket, or release its slot if it has been granted in the meantime.
+
+        Returns:
+            The tickets granted as a result.
+        """
         if ticket.granted:
             return self.release(now, ticket.traffic_class)
         if not ticket.short:
@@ -225,7 +233,7 @@
             granted.append(ticket)
 
     def _next(self) -> Ticket | None:
-        """Take the next that waits and may run: short ones first, but for every third turn."""
+        """Remove and return the next ticket that may run: short ones first, except every third."""
         short = bool(self._short) and self._may_run(self._short[0].traffic_class)
         if short and self._short_turns < SHORT_TURNS:
             self._short_turns += 1
@@ -261,7 +269,7 @@
         return own < fair or waiting < self._queue_limit // 2
 
     def _displace(self, state: _ClassState) -> Ticket | None:
-        """Drop the newest ticket of a less important class to make room."""
+        """Remove the newest ticket of a less important class to make room."""
         names = list(self._classes.values())
         for other in reversed(names[names.index(state) + 1 :]):
             if other.waiting:
@@ -271,7 +279,7 @@
         return None
 
     def _expected_wait_ms(self, name: str, *, short: bool) -> float:
-        """Estimate the wait from what runs before this request and the service time."""
+        """Estimate the wait from the requests queued ahead and the service time."""
         names = list(self._classes)
         ahead = len(self._short)
         if not short:
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission at the sidecar: slots, reserved shares, turns, deadlines."""
+"""Admission control at the sidecar: slots, reserved shares, fairness, deadlines."""
 
 import random
 
@@ -15,24 +15,24 @@
 
 
 def admission(queue_limit: int = 20) -> Admission:
-    """Return an admission of ten slots that has measured 10 ms of service time."""
+    """Return an admission with ten slots and a mean service time of 10 ms."""
     made = Admission(CLASSES, slots=SLOTS, queue_limit=queue_limit)
     made.set_limit(SLOTS, 10.0)
     return made
 
 
 def take(one: Admission, name: str, count: int, caller: str = "c") -> list[object]:
-    """Offer some requests of a class at once."""
+    """Offer several requests of a class."""
     return [one.offer(0.0, name, caller, 1.0, retry=False) for _ in range(count)]
 
 
 def fill(one: Admission) -> None:
-    """Take all slots, each class's reserved ones by itself."""
+    """Occupy all slots within the reserved shares of two classes."""
     held = [*take(one, "counter", 8), *take(one, "members", 2)]
     assert all(isinstance(decision, Admitted) for decision in held)
 
 
-def test_internal_traffic_never_takes_what_members_need() -> None:
+def test_internal_traffic_never_takes_reserved_slots() -> None:
     """A flood of internal traffic leaves the reserved slots free."""
     one = admission()
     admitted = [d for d in take(one, "internal", 50) if isinstance(d, Admitted)]
@@ -42,7 +42,7 @@
 
 
 def test_important_classes_go_first_and_displace() -> None:
-    """With the queue full of internal traffic a counter's request takes a place."""
+    """With the queue full of internal traffic, a counter request displaces one of it."""
     one = admission(queue_limit=5)
     fill(one)
     for number in range(20):
@@ -54,8 +54,8 @@
     assert one.release(0.1, "counter") == [decision.ticket]
 
 
-def test_callers_take_turns() -> None:
-    """One caller's many requests do not hold up another's one."""
+def test_slots_are_granted_round_robin_among_callers() -> None:
+    """Many requests of one caller do not delay the single request of another."""
     one = admission()
     fill(one)
     take(one, "counter", 5, "many")
@@ -67,8 +67,8 @@
     assert single.ticket in granted
 
 
-def test_what_cannot_meet_its_deadline_is_refused_at_once() -> None:
-    """The wait is told from measured service time, and with it when to come back."""
+def test_request_that_would_miss_its_deadline_is_refused_immediately() -> None:
+    """The wait is estimated from the service time; the refusal carries a retry delay."""
     one = admission()
     fill(one)
     take(one, "counter", 10)
@@ -79,7 +79,7 @@
 
 
 def test_retries_are_shed_first() -> None:
-    """A retry does not wait where a first attempt may."""
+    """With the same queue a retry is refused where a first attempt is queued."""
     one = admission(queue_limit=8)
     fill(one)
     take(one, "counter", 3)
@@ -88,8 +88,8 @@
 
 
 @given(st.integers(0, 2**32), st.integers(1, 12), st.integers(0, 12))
-def test_bounds_hold_over_any_sequence(seed: int, slots: int, queue_limit: int) -> None:
-    """Slots and queue are never exceeded, nothing is granted twice, and all comes back."""
+def test_limits_hold_for_any_sequence(seed: int, slots: int, queue_limit: int) -> None:
+    """Slot and queue limits are never exceeded, no ticket is granted twice, no slot is lost."""
     rng = random.Random(seed)
     one = Admission(CLASSES, slots=slots, queue_limit=queue_limit)
     running: list[str] = []
@@ -132,10 +132,13 @@
     st.integers(1, 10),
     st.integers(0, 6),
 )
-def test_decisions_agree_with_twin(
+def test_decisions_agree_with_naive_model(
     steps: list[tuple[bool, int]], slots: int, queue_limit: int
 ) -> None:
-    """Who runs, waits, is refused, and starts next; every request from another caller."""
+    """Compares admitted, queued, refused and next granted requests with a naive model.
+
+    Every request has a caller of its own, as the model knows no fairness among callers.
+    """
     one = Admission(CLASSES, slots=slots, queue_limit=queue_limit)
     twin = NaiveAdmission([entry.reserved for entry in CLASSES], slots, queue_limit)
     numbers: dict[Ticket, int] = {}
@@ -153,7 +156,7 @@
 
 
 def crowded() -> tuple[Admission, list[Ticket]]:
-    """Return an admission whose slots are taken, and requests that wait: long and short ones."""
+    """Return an admission without free slots, and two long and four short queued requests."""
     one = admission()
     fill(one)
     tickets = []
@@ -165,14 +168,14 @@
 
 
 def test_short_requests_go_first_but_never_starve_the_others() -> None:
-    """A call that a running request waits for delays the others by little; a flood would not."""
+    """Every third grant goes to a long request, so a flood of short ones cannot starve these."""
     one, (long_1, long_2, *short) = crowded()
     order = [ticket for _ in range(6) for ticket in one.release(0.1, "members")]
     assert order == [short[0], short[1], long_1, short[2], short[3], long_2]
 
 
-def test_a_short_request_is_told_the_wait_that_it_has() -> None:
-    """Only short ones are before it; its deadline is judged by its own time."""
+def test_short_request_is_judged_by_its_own_wait() -> None:
+    """Only short requests are ahead of it, and its own latency decides about its deadline."""
     one, _ = crowded()
     assert one.expected_wait_ms("members", 2.0) < one.expected_wait_ms("members", 10.0)
     late = one.offer(0.0, "members", "x", 0.008, retry=False)
@@ -181,8 +184,8 @@
     assert isinstance(in_time, Queued)
 
 
-def test_a_short_request_that_leaves_is_not_granted() -> None:
-    """Its place goes to the next."""
+def test_abandoned_short_request_is_not_granted() -> None:
+    """After it is abandoned, the next short request gets the slot."""
     one, (_, _, first, second, *_) = crowded()
     assert one.abandon(0.05, first) == []
     assert one.release(0.1, "members") == [second]
