--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -1,7 +1,7 @@
-"""The clock: it counts the time of a suspension, everything reads it, and no wait outlasts it.
+"""The clock includes suspensions, all code uses it, and no wait is prolonged by a suspension.
 
-To a process a suspended VM looks so: this clock has jumped by the time, and what it waits for in
-the kernel goes on as if nothing had been. So it is brought about here.
+After a suspension of the VM a process sees this clock jump, while waits in the kernel go on as if
+no time had passed. The tests simulate a suspension by a jump of the clock.
 """
 
 import re
@@ -29,13 +29,13 @@
 LIMIT_S = 5.0
 """Seconds that each wait here would last without the suspension."""
 LATE_S = 2.0
-"""Seconds within which each wait must end: half a second of it after the VM wakes, and some for a
+"""Seconds within which each wait must end: half a second after the VM resumes, and a margin for a
 busy machine."""
 OTHER_CLOCKS = re.compile(r"\btime\.(monotonic|perf_counter|clock_gettime)|CLOCK_MONOTONIC")
 
 
 class Suspension:
-    """Makes the clock jump."""
+    """Simulates suspensions of the VM by jumps of the clock."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self._offset_s = 0.0
@@ -43,25 +43,25 @@
         monkeypatch.setattr(clock, "now", lambda: now() + self._offset_s)
         monkeypatch.setattr(clock, "now_ns", lambda: now_ns() + int(self._offset_s * 1e9))
 
-    def pass_by(self) -> None:
-        """Let the process wake from one."""
+    def resume_vm(self) -> None:
+        """Simulate that the VM resumes from a suspension now."""
         self._offset_s += SUSPENDED_S
 
-    def pass_by_soon(self) -> None:
-        """The same once the caller waits."""
-        timer = threading.Timer(0.2, self.pass_by)
+    def resume_vm_soon(self) -> None:
+        """Simulate it in 0.2 s, once the caller waits."""
+        timer = threading.Timer(0.2, self.resume_vm)
         timer.daemon = True
         timer.start()
 
 
 @pytest.fixture
 def suspension(monkeypatch: pytest.MonkeyPatch) -> Suspension:
-    """Return what makes the clock jump."""
+    """Return the simulated suspension."""
     return Suspension(monkeypatch)
 
 
-def test_it_is_the_clock_that_counts_suspension() -> None:
-    """And it is as fine as the steady one."""
+def test_clock_includes_suspension() -> None:
+    """In both resolutions it reads `CLOCK_BOOTTIME`."""
     for read in (clock.now, clock.now_ns):
         assert isinstance(read, partial)
         assert read.args == (time.CLOCK_BOOTTIME,)
@@ -71,7 +71,7 @@
 
 
 def test_no_other_clock_is_read() -> None:
-    """Ages, fences and deadlines are compared with each other, so all are of one clock."""
+    """Ages, fences and deadlines are compared with each other, so all must use one clock."""
     folder = Path(roadpass.__file__).parent
     found = {
         path.name
@@ -81,43 +81,43 @@
     assert found == {"clock.py"}
 
 
-def test_a_suspension_is_noticed_as_a_pause(suspension: Suspension) -> None:
-    """What came meanwhile is read before anything is started."""
+def test_suspension_is_detected_as_a_pause(suspension: Suspension) -> None:
+    """Messages that arrived meanwhile are read before any work is started."""
     pause = PauseWatch()
-    suspension.pass_by()
+    suspension.resume_vm()
     assert pause.settle() > 0.0
     assert pause.pauses == 1
 
 
-def test_a_frame_that_waited_through_a_suspension_is_old(suspension: Suspension) -> None:
-    """By the whole time of it, so that its request is not started for nobody."""
+def test_age_of_a_frame_includes_a_suspension(suspension: Suspension) -> None:
+    """Its age includes the suspension, so its request is not started after the caller has left."""
     here, there = socket.socketpair()
     sender, receiver = Stream(here, (), client=True), Stream(there, (), client=False)
     sender.send({"t": "accepted"})
     assert receiver.receive(1.0).age_s < 1.0
     sender.send({"t": "accepted"})
-    suspension.pass_by()
+    suspension.resume_vm()
     assert receiver.receive(1.0).age_s == pytest.approx(SUSPENDED_S, abs=1.0)
     sender.send({"t": "accepted"})
     assert receiver.receive(1.0).age_s < 1.0
 
 
-def test_a_reply_is_not_waited_for_past_its_time(suspension: Suspension) -> None:
-    """The wait ends soon after the VM wakes, not as much later as it was suspended."""
+def test_wait_for_a_reply_ends_at_its_deadline(suspension: Suspension) -> None:
+    """The wait ends soon after the VM resumes and is not prolonged by the suspension."""
     here, _there = socket.socketpair()
-    suspension.pass_by_soon()
+    suspension.resume_vm_soon()
     began = time.monotonic()
     with pytest.raises(ReplyTimeoutError):
         Stream(here, (), client=True).receive(LIMIT_S)
     assert time.monotonic() - began < LATE_S
 
 
-def test_a_target_is_not_waited_for_past_its_time(
+def test_wait_for_a_target_ends_at_its_deadline(
     suspension: Suspension, listener: socket.socket
 ) -> None:
-    """As for a reply; the caller is told at once."""
+    """As for a reply of a peer; the error is raised soon after the VM resumes."""
     host, port = listener.getsockname()
-    suspension.pass_by_soon()
+    suspension.resume_vm_soon()
     began = time.monotonic()
     with pytest.raises(TargetTimeoutError):
         TargetClient(f"{host}:{port}").send(
@@ -126,8 +126,8 @@
     assert time.monotonic() - began < LATE_S
 
 
-def test_a_slot_is_not_waited_for_past_its_time(suspension: Suspension) -> None:
-    """The request leaves the queue, as not run."""
+def test_wait_for_a_slot_ends_at_its_deadline(suspension: Suspension) -> None:
+    """The request leaves the queue and is reported as not run."""
     lock = threading.Lock()
     slots = Slots(
         (TrafficClass("default", 0.0),), slots=1, queue_limit=2, lock=lock, shutdown=Shutdown()
@@ -151,7 +151,7 @@
         }
     )
     assert slots.take(one, clock.now() + LIMIT_S, 0.0) is None
-    suspension.pass_by_soon()
+    suspension.resume_vm_soon()
     began = time.monotonic()
     refused = slots.take(one._replace(id="vm/1/2"), clock.now() + LIMIT_S, 0.0)
     assert isinstance(refused, NotRun)
