--- a/roadpass/daemon.py
+++ b/roadpass/daemon.py
@@ -1,7 +1,7 @@
 """`roadpassd`: one process of the fleet.
 
-What takes long to import is imported by `main`, once SIGHUP no longer ends the process: a tenth of
-a second and more, in which settings may change as in any other.
+Slow imports are done in `main`, after SIGHUP no longer terminates the process. They take a tenth of
+a second or more, and a SIGHUP for changed settings may arrive in that time.
 """
 
 import argparse
@@ -25,15 +25,15 @@
 EXIT_CUT = 1
 EXIT_SETTINGS = 2
 SETTINGS_VARIABLE = "ROADPASS_SETTINGS"
-"""Environment variable with the path of the settings file, where no option gives it."""
+"""Environment variable with the path of the settings file, used without the option."""
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Run until SIGTERM or SIGINT; SIGHUP says that the settings file changed.
+    """Run until SIGTERM or SIGINT; SIGHUP reloads the settings file.
 
     Returns:
-        2 for bad settings. Else the process ends with 0 after a stop that cut nothing, 1 if the
-        stop limit passed first.
+        2 for invalid settings; otherwise it does not return. The process exits with status 0 if the
+        shutdown drained all requests, 1 if it reached the stop limit first.
     """
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     from roadpass import log
@@ -82,15 +82,16 @@
         if settings is not None:
             node.apply_settings(settings)
     node.leave()
-    drained = node.drain()
+    clean = node.drain()
     node.stop()
-    _exit_process(EXIT_OK if drained else EXIT_CUT)
+    _exit_process(EXIT_OK if clean else EXIT_CUT)
 
 
 def _exit_process(code: int) -> NoReturn:
-    """End at once, once the log is written: the interpreter's own end waits for its threads.
+    """Write the rest of the log and exit without the interpreter's shutdown.
 
-    That took time which answers need, and at times so long that the process was killed.
+    That waits for all threads, which took time needed for responses, and sometimes so long that the
+    process was killed.
     """
     from roadpass import log
 
--- a/roadpass/learning.py
+++ b/roadpass/learning.py
@@ -1,7 +1,7 @@
-"""What an attempt showed of its target, noted wherever it counts.
+"""Passes the outcome of an attempt to everything that learns from it.
 
-It takes the time from its caller. The choice among targets, the belief of their load, the usual
-requests of a route, the quarantine and the health of targets all learn from the same end.
+Target selection, load estimates, typical latencies per route, the quarantine and the health checks
+all learn from the same outcome. The time is passed in by the caller.
 """
 
 from collections import deque
@@ -22,19 +22,19 @@
 
 
 class AttemptFeedback:
-    """Takes the ends of attempts at one ingress; used by the threads of all callers at once.
+    """Records the outcomes of attempts at one ingress; used concurrently by all caller threads.
 
     Args:
-        view: Has the revision in force here.
-        choice: Among targets.
-        loads: Beliefs of the targets' load.
-        kinds: What is usual for the requests of each route.
-        quarantine: What the node knows of requests under which targets ended.
-        pause: Tells when this process stood still.
-        behind: Called with a VM and its revision when that is newer than the own one.
+        view: Has the configuration revision in force here.
+        choice: Selection among targets.
+        loads: Load estimates of the targets.
+        kinds: Typical sizes and latencies of the requests of each route.
+        quarantine: Requests during which targets crashed.
+        pause: Detects pauses of this process.
+        behind: Called with a VM and its revision if that is newer than the local one.
 
     Attributes:
-        observations: What attempts showed, for the health monitor to take away.
+        observations: Health observations, consumed by the health monitor.
     """
 
     def __init__(
@@ -68,16 +68,19 @@
         *,
         last: bool,
     ) -> None:
-        """Note the end of an attempt.
+        """Record the end of an attempt.
+
+        An attempt during which this process was paused gives no health sample, as its latency
+        says nothing about the target.
 
         Args:
             now: Clock seconds.
-            trip: Of the request.
-            target: To which the attempt went.
-            reply: What is known of its end, and of its target.
-            pending: The attempt, as it was watched while it was under way.
+            trip: State of the request.
+            target: Target of the attempt.
+            reply: Outcome, and the load report and crash report that came with it, if any.
+            pending: The attempt as it was tracked while in flight.
             started: Clock seconds at which it was sent.
-            last: Whether the request would have been lost with the attempt.
+            last: Whether no other attempt was left for the request.
         """
         took_ms = (now - started) * 1000.0
         scores, latency_ms = None, 0.0
@@ -100,7 +103,7 @@
 
 
 def _sample(outcome: Outcome, took_ms: float) -> Sample | None:
-    """Return what an outcome tells of its target's health, `None` for nothing."""
+    """Return the health sample of an outcome, `None` if it says nothing about the target."""
     match outcome:
         case Answered(status=status, service_ms=service_ms):
             return Sample(status >= SERVER_ERROR, service_ms)
--- a/roadpass/node.py
+++ b/roadpass/node.py
@@ -1,4 +1,4 @@
-"""A node: all parts of one `roadpassd` process, wired together."""
+"""A node: creates and connects all components of one `roadpassd` process."""
 
 import logging
 import random
@@ -42,18 +42,18 @@
 from roadpass.view import View
 
 READY_PEERS = 2
-"""A starting node is ready once it holds what so many peers do not exceed,"""
+"""Number of peers without a newer revision after which a starting node is ready."""
 READY_WAIT_S = 2.0
-"""or, with fewer peers to be heard, after this time."""
+"""Seconds after which a starting node is ready with fewer such peers."""
 COUNTERS_S = 10.0
-"""Seconds between logs of the plain counters, for whoever has only logs."""
+"""Seconds between logs of the plain counters, for operators who have only the logs."""
 
 
 class Node:
     """One process of the fleet.
 
     Args:
-        settings: Checked settings.
+        settings: Validated settings.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -98,7 +98,10 @@
         self._next_counters = self._started_at + COUNTERS_S
 
     def start(self) -> None:
-        """Start all parts; the node reports ready once it has the newest configuration."""
+        """Start all components; the node becomes ready once it has the newest configuration.
+
+        Gossip begins only after the components that handle its datagrams have been started.
+        """
         self.audit.record(Kind.START, self._settings.vm, f"version {__version__}")
         self._pause.start()
         self._router.configuration = self._start(
@@ -109,7 +112,7 @@
         self._router.quota_coordinator = self._start(
             QuotaCoordinator, self._quotas, self._view, self._router.send_quota
         )
-        self._sidecar.quarantine.on_news = self._router.on_crash_news
+        self._sidecar.quarantine.on_news = self._router.on_crash_update
         self._router.monitor = self._start_monitor()
         self._router.puller = self._start(
             Puller, self._peers, self._store, self._router.on_offer, self.metrics
@@ -196,7 +199,7 @@
         )
 
     def tick(self) -> None:
-        """Do what is due; called a few times a second by the main thread."""
+        """Run periodic work; called a few times a second by the main thread."""
         if not self._view.ready:
             self._check_ready()
         self._peers.expire()
@@ -206,7 +209,7 @@
             decided("node", "counters", vm=self._settings.vm, counters=self.metrics.counters())
 
     def apply_settings(self, settings: Settings) -> None:
-        """Put changed settings in force as far as a running node can; the others want a restart."""
+        """Apply changed settings; those that need a restart are logged and not applied."""
         logging.getLogger("roadpass").setLevel(settings.log_level.upper())
         own = self._settings
         applied = own._replace(stop_limit_s=settings.stop_limit_s, log_level=settings.log_level)
@@ -221,10 +224,10 @@
         decided("node", "settings-in-force", vm=own.vm, after_a_restart=pending)
 
     def leave(self) -> None:
-        """Say that this node leaves, and take no new work; what is in flight goes on.
+        """Announce that this node leaves, and refuse new requests; those in flight go on.
 
-        With a store nobody else can serve the callers of this VM before they are sent elsewhere:
-        `drain` refuses them only then.
+        With a store no other node can serve the callers of this VM until they are redirected, so
+        new requests are refused later, by `drain`.
         """
         if self._view.leaving:
             return
@@ -235,15 +238,15 @@
         self.audit.record(Kind.STOP, self._settings.vm, "leaving, takes no new work")
 
     def _refuse(self) -> None:
-        """Take no new request of callers and no attempt of peers from now on."""
+        """Refuse new requests of callers and new attempts of peers from now on."""
         self._view.refusing = True
         self._sidecar.leaving = True
 
     def drain(self) -> bool:
-        """Wait until nothing is in flight.
+        """Wait until nothing is in flight, or the stop limit passes.
 
         Returns:
-            Whether that was so within the stop limit.
+            Whether nothing was left in flight.
         """
         stop = PlannedStop(
             self._view,
@@ -256,17 +259,17 @@
         return stop.run(self._refuse)
 
     def active(self) -> int:
-        """Return how many callers' requests are being answered."""
+        """Return the number of callers' requests in progress."""
         active: int = self._ingress_proxy.active.get()
         return active
 
     def unread(self) -> int:
-        """Return how many callers' connections have something to be read."""
+        """Return the number of callers' connections with unread data."""
         unread: int = self._ingress_proxy.unread.get()
         return unread
 
     def stop(self) -> None:
-        """Stop all parts."""
+        """Stop all components without waiting for them."""
         for actor in reversed(self._actors):
             actor.stop(block=False)
         self._pause.stop()
--- a/roadpass/pages.py
+++ b/roadpass/pages.py
@@ -1,4 +1,4 @@
-"""The pages of the administration API: what a node shows of itself to operators."""
+"""The pages of the administration API."""
 
 from collections.abc import Callable
 from typing import Any, NamedTuple
@@ -13,20 +13,20 @@
 
 
 class PageSources(NamedTuple):
-    """The parts of a node that its pages read.
+    """The components of a node that its pages read.
 
     Args:
-        settings: Of the node.
-        incarnation: Of its process.
+        settings: Settings of the node.
+        incarnation: Incarnation of its process.
         started_at: Clock seconds at which it started.
-        view: What it routes by.
+        view: Its routing data.
         pause: Its pause watch.
         audit: Its audit trail.
-        metrics: Its counters.
+        metrics: Its metrics.
         gossip: Proxy of its gossip actor.
-        monitor: Its health monitor.
+        monitor: Reference of its health monitor actor.
         readers: Returns the VMs of its data hall that read the platform.
-        in_flight: Returns how many requests and attempts are under way.
+        in_flight: Returns the number of requests and attempts in flight.
     """
 
     settings: Settings
@@ -43,17 +43,17 @@
 
 
 class Pages:
-    """Answers the questions of operators.
+    """Builds the pages; called by the threads of the administration server.
 
     Args:
-        sources: What to read.
+        sources: Components that the pages read.
     """
 
     def __init__(self, sources: PageSources) -> None:
         self._sources = sources
 
     def handlers(self) -> dict[str, Handler]:
-        """Return the pages by path."""
+        """Return the page handlers by path."""
         return {
             "/status": self._status,
             "/targets": self._targets,
@@ -104,6 +104,6 @@
         return Page(200, TEXT, self._sources.metrics.prometheus().encode())
 
     def _ready(self, _: Query) -> Page:
-        """Tell whether the node serves callers."""
+        """Return status 200 if the node accepts callers, else 503."""
         ready = self._sources.view.ready and not self._sources.view.leaving
         return Page.from_value({"ready": ready}, status=200 if ready else 503)
--- a/roadpass/switchboard.py
+++ b/roadpass/switchboard.py
@@ -1,4 +1,4 @@
-"""What the parts of a node tell each other: each word goes on to the part that it concerns."""
+"""Routes events between the components of a node."""
 
 import logging
 from collections.abc import Sequence
@@ -35,28 +35,29 @@
 
 
 class EventRouter:
-    """The callbacks that a node gives its parts; called by the threads of all of them.
+    """The callbacks between the components of a node; called from the threads of all of them.
 
-    The parts are told of each other here only, since each is started with its callbacks. Whoever
-    starts them sets them as attributes, and lets none be called before those it concerns are there.
+    Every component needs its callbacks when it is started, so components refer to each other only
+    through this class. The code that starts them sets them as attributes here, before anything can
+    trigger a callback that uses them.
 
     Args:
-        settings: Of the node; what it takes over while it runs is not read here.
-        view: What the ingress routes by.
+        settings: Settings at the start of the node; later changes are not seen here.
+        view: Routing data of the ingress.
         store: The configuration that this node holds.
-        journal: What it read of the source.
-        audit: Told when the node is ready.
+        journal: Updates read from the source.
+        audit: Audit trail; records when the node becomes ready.
 
     Attributes:
-        sidecar: Told of each fleet.
-        configuration: The actor that takes revisions.
-        gossip: The actor that speaks with all nodes.
-        monitor: The actor that judges targets.
-        puller: The actor that fetches revisions from peers.
-        quota_coordinator: The actor that speaks of customers.
-        store_reader: The actor that reads the source; only with a store.
-        readers: VMs of the own data hall that read the platform.
-        standing: Place of this node in the order of those that read the source.
+        sidecar: Configured with each fleet.
+        configuration: Actor that accepts revisions.
+        gossip: Actor that exchanges datagrams with the other nodes.
+        monitor: Actor that judges the health of targets.
+        puller: Actor that fetches revisions from peers.
+        quota_coordinator: Actor that exchanges quota reports and allowances.
+        store_reader: Actor that reads the source; only with a store.
+        readers: VMs of the local data hall that read the platform.
+        standing: Rank of this node among those that read the source.
     """
 
     sidecar: Sidecar
@@ -84,7 +85,7 @@
         self.standing = Standing()
 
     def on_fleet(self, fleet: Fleet) -> None:
-        """Put a fleet in force."""
+        """Put a new fleet configuration in force."""
         self._view.fleet = fleet
         self.sidecar.configure(fleet)
         self.monitor.tell(FleetChanged(fleet))
@@ -92,7 +93,7 @@
             self.gossip.tell(InForce(Version(fleet.revision, fleet.digest)))
 
     def on_published(self, fleet: Fleet, config: PublishedConfig) -> None:
-        """Put the fleet of a source in force."""
+        """Put the fleet read from the source in force; the first one makes the node ready."""
         self._view.limits = config.limits
         self.on_fleet(fleet)
         if not self._view.ready:
@@ -100,28 +101,34 @@
             self._audit.record(Kind.READY, self._settings.vm, f"revision {fleet.revision}")
 
     def on_peers(self, entries: Sequence[TargetEntry]) -> None:
-        """Know the nodes beside the targets that a source names."""
+        """Add the nodes on the VMs of the targets that the source lists."""
         members = neighbours(self._settings, entries)
         self.gossip.tell(Seed(members, frozenset(), spread=False))
 
     def on_confirmed(self, position: Position, at: float, own: bool) -> None:
-        """Tell the others that the source had nothing newer than a position, and when."""
+        """Announce that the source had nothing newer than a position, and when.
+
+        Args:
+            position: Position up to which this node holds the source.
+            at: Clock seconds of the confirmation.
+            own: Whether this node read the source itself.
+        """
         self.gossip.tell(Confirmed(position, at, tell=own))
 
     def on_peer_position(self, peer: PeerPosition) -> None:
-        """Hand on up to where a peer holds the source."""
+        """Forward up to which position a peer holds the source."""
         self.store_reader.tell(peer)
 
     def on_quota(self, message: QuotaMessage) -> None:
-        """Hand on what another node tells of customers."""
+        """Forward quota reports or allowances received from another node."""
         self.quota_coordinator.tell(message)
 
     def send_quota(self, message: QuotaMessage) -> None:
-        """Tell other nodes of customers."""
+        """Send quota reports or allowances to another node."""
         self.gossip.tell(message)
 
     def on_node(self, node: PeerNode) -> None:
-        """Know a node, and who reads the platform or the source beside this one."""
+        """Update a node, the readers of the platform and this node's rank among the readers."""
         self._view.nodes[node.vm] = node
         nodes = self._view.nodes.values()
         hall = {n.vm for n in nodes if n.alive and n.hall == self._settings.hall and not n.leaving}
@@ -130,54 +137,54 @@
         self.standing = Standing(order.index(self._settings.vm), len(nodes))
 
     def on_version(self, version: Version, address: Address) -> None:
-        """Pull a version that a peer is heard to hold, if it is newer."""
+        """Pull a version that a peer announced, if it is newer."""
         if self._settings.store is not None:
             return
         self.puller.tell(VersionHeard(version, address))
 
     def on_behind(self, vm: str, revision: int) -> None:
-        """Pull from a node that was seen to hold a newer revision."""
+        """Pull from a node that mentioned a newer revision in an attempt or a load report."""
         peer = self._view.nodes.get(vm)
         if peer is not None and self._settings.store is None:
             self.puller.tell(VersionHeard(Version(revision, ""), (peer.address, peer.stream_port)))
 
     def on_hint(self, target: str, scores: Scores) -> None:
-        """Hand on another sidecar's word on its target."""
+        """Forward the health scores that another sidecar reported for its target."""
         self.monitor.tell(HintHeard(target, scores))
 
-    def on_crash_news(self) -> None:
-        """Tell others what is new of requests under which targets end."""
+    def on_crash_update(self) -> None:
+        """Announce new records of requests during which targets crashed."""
         try:
             self.gossip.tell(CrashNews())
-        except pykka.ActorDeadError:  # the request's answer is delivered all the same
-            _log.debug("nobody is told of a crash any more: the node has stopped")
+        except pykka.ActorDeadError:  # the request's response is delivered all the same
+            _log.debug("crash not announced to other nodes: gossip has stopped")
 
     def on_platform(self) -> None:
-        """Tell the others that the platform was seen."""
+        """Announce that the platform was read successfully."""
         self.gossip.tell(PlatformSeen())
 
     def on_vms(self, entries: list[VmEntry]) -> None:
-        """Know the nodes that the platform lists."""
+        """Add the nodes that the platform lists."""
         leaving = frozenset(entry.vm for entry in entries if entry.leaving)
         self.gossip.tell(Seed(listed_members(entries), leaving))
 
     def on_pull(self, message: Message) -> Message:
-        """Tell a peer what it lacks.
+        """Build the response to a peer's pull: the documents or source updates that it lacks.
 
         Raises:
-            StreamError: This node knows nothing of the source yet.
+            StreamError: This node has not read anything from the source yet.
         """
         if message["t"] == "pull":
             return offer(self._store.held, message["have"])
         news = self._journal.since(Position(message.get("era", 0), message["after"]))
         if news is None:
-            raise StreamError("Nothing is known of the source yet.")
+            raise StreamError("This node has no data from the source yet.")
         return news.to_message(clock.now())
 
     def on_offer(self, revision: Offer) -> None:
-        """Hand on a revision that was read or pulled."""
+        """Forward a revision that was read from the platform or pulled from a peer."""
         self.configuration.tell(revision)
 
     def send_scores(self, target: str, scores: Scores) -> None:
-        """Tell the others of the evidence against this VM's target."""
+        """Announce the health scores of this VM's target to the other nodes."""
         self.gossip.tell(Say(target, scores))
--- a/roadpass/view.py
+++ b/roadpass/view.py
@@ -1,4 +1,4 @@
-"""What the threads of an ingress read: immutable views that their owners swap in."""
+"""Routing data read by the threads of an ingress: immutable parts that their owners replace."""
 
 from collections.abc import Mapping
 from typing import NamedTuple, TypeAlias
@@ -12,7 +12,7 @@
 
 
 class PeerNode(NamedTuple):
-    """How to reach a node; `alive` is false if it is believed dead, `leaving` if it said so."""
+    """How to reach a node; not `alive` if believed dead, `leaving` if it announced that."""
 
     vm: str
     address: str
@@ -24,12 +24,13 @@
 
 
 class ServiceView:
-    """The targets of one service with their weights, at one moment.
+    """Snapshot of the targets of one service with their weights.
 
     Args:
-        candidates: By target name.
+        candidates: Candidates by target name.
         slow_ms: Service time that counts as slow, by target name.
-        revision: Of the fleet it was made from; `None` once it has been judged.
+        revision: Revision of the fleet that it was built from without health data; `None` once the
+            health monitor has built it.
     """
 
     def __init__(
@@ -45,7 +46,7 @@
         self._pickers: dict[Groups, Picker] = {}
 
     def picker(self, groups: Groups) -> Picker:
-        """Return the picker of a route's groups."""
+        """Return the picker for a route's groups of target names, cached per groups."""
         found = self._pickers.get(groups)
         if found is None:
             members = [
@@ -57,15 +58,15 @@
 
 
 class View:
-    """Everything a worker needs to route: swapped in parts by their owners.
+    """Everything a worker thread needs for routing; each part is replaced by its owner.
 
     Args:
         vm: This node's VM.
-        hall: Its data hall.
-        region: Its region.
+        hall: Data hall of the VM.
+        region: Region of the VM.
 
-    A node that is `leaving` says so and closes its callers' connections; once it is `refusing` it
-    takes no new request of theirs either.
+    A node that is `leaving` announces it and closes its callers' connections; once it is `refusing`
+    it also refuses their new requests.
     """
 
     def __init__(self, vm: str, hall: str, region: str) -> None:
@@ -95,7 +96,7 @@
         return 1 if node is not None and node.region == self._region else 2
 
     def service(self, name: str) -> ServiceView:
-        """Return the view of a service; one not judged yet has every target at full weight."""
+        """Return the view of a service, with all targets at full weight before a health check."""
         found = self.services.get(name)
         if found is None or found.revision not in (None, self.fleet.revision):
             revision = self.fleet.revision
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -1,4 +1,4 @@
-"""The daemon's start: settings may change, and be told of by SIGHUP, from its first moment on."""
+"""Start of the daemon: SIGHUP for changed settings is safe from the first moment on."""
 
 import signal
 import subprocess
@@ -9,18 +9,18 @@
 
 from roadpass import clock, daemon
 
-SLOW = ("roadpass.node", "pykka", "h11", "cheroot", "urllib3", "fastjsonschema")
+SLOW_IMPORTS = ("roadpass.node", "pykka", "h11", "cheroot", "urllib3", "fastjsonschema")
 
 
-def test_what_takes_long_is_imported_once_settings_may_change() -> None:
-    """Until `main` ignores SIGHUP, it ends the process: nothing slow may come before."""
-    code = f"import sys, roadpass.daemon; print([m for m in {SLOW!r} if m in sys.modules])"
+def test_slow_imports_happen_after_sighup_is_ignored() -> None:
+    """Until `main` ignores SIGHUP, it terminates the process, so no slow import may come before."""
+    code = f"import sys, roadpass.daemon; print([m for m in {SLOW_IMPORTS!r} if m in sys.modules])"
     done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
     assert done.stdout.strip() == "[]"
 
 
-def test_a_process_lives_through_sighup_while_it_imports(tmp_path: Path) -> None:
-    """Told again and again from its first line on, it ends with its own word on bad settings."""
+def test_process_survives_sighup_during_imports(tmp_path: Path) -> None:
+    """With SIGHUP every millisecond it still exits with the status for invalid settings."""
     code = (
         "import os, signal, threading, time\n"
         "from roadpass import daemon\n"
@@ -41,8 +41,8 @@
     assert clock.now() - began < 30.0
 
 
-def test_bad_settings_are_told(capsys: pytest.CaptureFixture[str], tmp_path: Path) -> None:
-    """With the file's name, and without a trace."""
+def test_invalid_settings_are_reported(capsys: pytest.CaptureFixture[str], tmp_path: Path) -> None:
+    """The message names the file."""
     before = signal.getsignal(signal.SIGHUP)
     try:
         assert daemon.main(["--settings", str(tmp_path / "none.jsonc")]) == daemon.EXIT_SETTINGS
