--- a/roadpass/access.py
+++ b/roadpass/access.py
@@ -1,4 +1,4 @@
-"""Who may send a request: whose key it shows, and whether its route needs one."""
+"""Authentication of requests: the customer of a key, and whether the route requires one."""
 
 from typing import NamedTuple
 
@@ -8,11 +8,11 @@
 
 
 class Access(NamedTuple):
-    """What a request's key says of it.
+    """Result of the authentication of a request.
 
     Args:
-        customer: Whose key it is, `None` if nobody's.
-        refusal: Why the request is not taken, `None` if it is.
+        customer: Customer of the key, `None` without a known key.
+        refusal: Why the request is rejected, `None` if it is accepted.
     """
 
     customer: Customer | None = None
@@ -22,19 +22,19 @@
 def identify(
     fleet: Fleet, host: str, path: str, method: str, credential: Credential
 ) -> Access | None:
-    """Find out whose request it is, and whether that is enough for its route.
+    """Identify the customer of a request, and check whether its route admits it.
 
-    What no route takes is not refused here: whoever routes it says so.
+    A request that matches no route is not refused here, but later by the router.
 
     Args:
-        fleet: In force.
+        fleet: Fleet in force.
         host: Host name of the request.
         path: Path, with or without query.
         method: HTTP method in capitals.
-        credential: What it shows.
+        credential: Credential of the request.
 
     Returns:
-        `None` where there are no customers: nobody needs a key then, and none is looked for.
+        `None` if the fleet has no customers, in which case no keys are required or checked.
     """
     if not fleet.customers:
         return None
--- a/roadpass/customer.py
+++ b/roadpass/customer.py
@@ -1,8 +1,8 @@
-"""Customers and their keys: whose a key is, without ever holding a key as text.
+"""Customers and their API keys: finds the customer of a key without storing keys as text.
 
-A key is turned into a keyed digest where it is read, and only digests are held, compared and told
-to other nodes. `Credential` is what a request shows: it holds a key for as long as the request is
-looked at, and shows it to nobody, not in its `repr` either.
+A key is converted to a keyed digest where it is read, and only digests are stored, compared and
+sent to other nodes. `Credential` holds the key of a request while the request is authenticated, and
+never exposes it, not even in its `repr`.
 """
 
 import hashlib
@@ -16,24 +16,25 @@
 from roadpass.outcome import Headers
 
 DIGEST_BYTES = 16
-"""Bytes of a key's digest: nobody finds a second key for one, and each is held by every node."""
+"""Bytes of a key's digest: long enough that no second key for a digest can be found, and short as
+every node stores all of them."""
 SALT_BYTES = 16
 MAX_KEY_CHARS = 512
-"""Characters of a key; a longer one is nobody's, and costs nothing to refuse."""
+"""Maximum characters of a key; longer ones are rejected without computing a digest."""
 _NAME = re.compile(r"[!-~]{1,200}")
-"""What may name a customer: it goes into a header of each of its requests, so no line ends."""
+"""Allowed customer names. The name is sent in a header of each request, so no line breaks."""
 _KEY = re.compile(rf"[!-~]{{1,{MAX_KEY_CHARS}}}")
 _RATE_MAX = 1e9
-"""Requests a second, or at once, that no limit reaches; beyond, a figure is a mistake."""
+"""Upper bound of valid rates and bursts, far above any real limit; a higher value is a mistake."""
 
 
 class Customer(NamedTuple):
-    """A customer, as the operators publish it.
+    """A customer, as published by the operators.
 
     Args:
-        traffic_class: Of its requests, `None` where the routes' counts.
+        traffic_class: Traffic class of its requests, `None` to use that of the route.
         rate_per_s: Requests a second that it may send over the whole fleet, 0 for no limit.
-        burst: Requests that it may send at once on top of that.
+        burst: Requests that it may send in addition, in a burst.
     """
 
     name: str
@@ -43,11 +44,11 @@
 
 
 class Credential:
-    """The key that a request shows, if it shows one as the dialect wants it.
+    """The key that a request presents, if its header has the form of the dialect.
 
     Args:
-        key: Empty for none, or none that could be a key.
-        shown: Whether the request has shown anything at all.
+        key: Empty if there is none, or the header value cannot be a key.
+        shown: Whether the request has the header at all.
     """
 
     __slots__ = ("_key", "shown")
@@ -58,12 +59,12 @@
 
     @classmethod
     def from_headers(cls, headers: Headers, name: str, scheme: str) -> "Credential":
-        """Return what headers show; a header given twice, or of another form, shows no key.
+        """Read the credential; a repeated or malformed header counts as one without a key.
 
         Args:
-            headers: Of a request.
-            name: Of the header.
-            scheme: The word before the key.
+            headers: Headers of a request.
+            name: Name of the header with the key.
+            scheme: Authentication scheme before the key, compared without case.
         """
         wanted = name.lower()
         values = [value for given, value in headers if given.lower() == wanted]
@@ -83,14 +84,15 @@
 
 
 class Customers:
-    """The customers of one configuration; immutable once built.
+    """The customers of one configuration; immutable.
 
     Args:
-        salt: Under which the digests were made.
-        customers: With the digests of their keys.
+        salt: Key of the keyed digests.
+        customers: Customers with the digests of their keys.
 
     Raises:
-        CustomerError: A customer is there twice, two share a key, or one makes no sense.
+        CustomerError: A customer is defined twice, two share a key, or one has an invalid name,
+            rate or burst.
     """
 
     def __init__(
@@ -102,7 +104,7 @@
         self._by_digest: dict[bytes, Customer] = {}
         for customer, digests in customers:
             self._add(customer, digests)
-        if not self._by_name:  # it says nothing then, and no two empty ones differ
+        if not self._by_name:  # without digests the salt is unused, and empty sets compare equal
             self.salt = b""
 
     def __bool__(self) -> bool:
@@ -117,19 +119,19 @@
             other._digests,
         )
 
-    __hash__ = None  # type: ignore[assignment]  # compared by content, and never a key of a table
+    __hash__ = None  # type: ignore[assignment]  # compared by content, never a dict key
 
     def __repr__(self) -> str:
         return f"Customers({len(self._by_name)} customers, {len(self._by_digest)} keys)"
 
     @property
     def by_name(self) -> Mapping[str, Customer]:
-        """The customers."""
+        """The customers by name."""
         return self._by_name
 
     @property
     def traffic_classes(self) -> set[str]:
-        """The classes that customers name."""
+        """The traffic classes set by customers."""
         return {one.traffic_class for one in self._by_name.values() if one.traffic_class}
 
     def keys_of(self, name: str) -> frozenset[bytes]:
@@ -137,37 +139,39 @@
         return frozenset(self._digests.get(name, ()))
 
     def find(self, credential: Credential) -> Customer | None:
-        """Return whose key a request shows, `None` if nobody's."""
+        """Return the customer of a credential, `None` if it has no known key."""
         return self._by_digest.get(credential.digest(self.salt))
 
     @classmethod
     def from_keys(cls, customers: Iterable[tuple[Customer, tuple[str, ...]]]) -> "Customers":
-        """Build from keys as text, under a fresh salt.
+        """Build from keys as text, with a new random salt.
 
         Raises:
-            CustomerError: As for the class, or a key is none that a request could show.
+            CustomerError: As for the class, or a key could not be sent in a request.
         """
         salt = secrets.token_bytes(SALT_BYTES)
         rows = []
         for customer, keys in customers:
             if not all(map(may_be_key, keys)):
-                raise CustomerError(f"Customer '{customer.name}' has a key nobody could show.")
+                raise CustomerError(
+                    f"Customer '{customer.name}' has a key that no request can carry."
+                )
             rows.append((customer, tuple(key_digest(key, salt) for key in keys)))
         return cls(salt, rows)
 
     @classmethod
     def from_config(cls, salt: str, value: Mapping[str, Any]) -> "Customers":
-        """Build from the checked written form of documents.
+        """Build from the validated customer section of a document.
 
         Args:
-            salt: In hexadecimal.
-            value: By name.
+            salt: Salt in hexadecimal.
+            value: Customers by name.
 
         Raises:
             CustomerError: As for the class, or there are digests without a salt.
         """
         if not salt and any(one.get("key_digests") for one in value.values()):
-            raise CustomerError("There are digests of keys, and no 'customer_salt'.")
+            raise CustomerError("Key digests need a 'customer_salt', which is missing.")
         return cls(
             bytes.fromhex(salt),
             (
@@ -183,25 +187,25 @@
 
     @classmethod
     def from_rows(cls, salt: bytes, rows: Iterable[Any]) -> "Customers":
-        """Build from the form in which nodes tell each other.
+        """Build from the rows that nodes send each other.
 
         Raises:
-            CustomerError: It makes no sense.
+            CustomerError: As for the class, or the rows are malformed.
         """
         try:
             read = [(Customer(*row[:4]), tuple(map(bytes, row[4]))) for row in rows]
         except (TypeError, ValueError, IndexError) as error:
-            raise CustomerError(f"The customers cannot be read: {error!r}.") from error
+            raise CustomerError(f"Malformed customer rows: {error!r}.") from error
         return cls(salt, read)
 
     def rows(self) -> list[list[Any]]:
-        """Return the form in which nodes tell each other."""
+        """Return the rows that nodes send each other; they hold key digests and no keys."""
         return [[*one, list(self._digests[name])] for name, one in self._by_name.items()]
 
     def _add(self, customer: Customer, digests: tuple[bytes, ...]) -> None:
         _check(customer)
         if customer.name in self._by_name:
-            raise CustomerError(f"Customer '{customer.name}' is there twice.")
+            raise CustomerError(f"Customer '{customer.name}' is defined twice.")
         self._by_name[customer.name] = customer
         self._digests[customer.name] = digests
         for digest in digests:
@@ -211,18 +215,18 @@
 
 
 def may_be_key(text: str) -> bool:
-    """Tell whether a request could show a text as its key."""
+    """Return whether a text could be sent as a key in a request."""
     return _KEY.fullmatch(text) is not None
 
 
 def key_digest(key: str, salt: bytes) -> bytes:
-    """Return the digest under which a key is held and told."""
+    """Return the digest that is stored and sent in place of a key."""
     return hashlib.blake2b(key.encode(), digest_size=DIGEST_BYTES, key=salt).digest()
 
 
 def _check(customer: Customer) -> None:
     if not isinstance(customer.name, str) or not _NAME.fullmatch(customer.name):
-        raise CustomerError("A customer has a name that no header could carry.")
+        raise CustomerError("A customer has a name that is no valid header value.")
     for what, value in (("rate", customer.rate_per_s), ("burst", customer.burst)):
         if not (math.isfinite(value) and 0.0 <= value <= _RATE_MAX):
-            raise CustomerError(f"Customer '{customer.name}' has a {what} of {value}.")
+            raise CustomerError(f"Customer '{customer.name}' has an invalid {what}: {value}.")
--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -1,4 +1,4 @@
-"""Who is let in at the ingress, over real sockets: keys, routes that need none, and headers."""
+"""Authentication at the ingress over real sockets: keys, public routes and headers."""
 
 from collections.abc import Iterator
 from typing import Any
@@ -28,33 +28,33 @@
 
 
 def get(path: str, headers: str = "") -> bytes:
-    """Return a request of that path."""
+    """Return a GET request for a path."""
     return f"GET {path} HTTP/1.1\r\nHost: shop\r\n{headers}\r\n".encode()
 
 
 def key(value: str = SECRET) -> str:
-    """Return the header that shows a key."""
+    """Return a header line with a key."""
     return f"Authorization: Token {value}\r\n"
 
 
 @pytest.fixture
 def bench() -> Iterator[Bench]:
-    """Run an ingress of a fleet with customers."""
+    """Run an ingress for a fleet with customers."""
     with opened(PLATFORM) as made:
         made.view.fleet = fleet(SECRET)
         yield made
 
 
 def names(request: Request) -> set[str]:
-    """Return the names of the headers that go on, in lower case."""
+    """Return the names of the forwarded headers in lower case."""
     return {name.lower() for name, _ in request.headers}
 
 
-def test_the_key_ends_here_and_its_customer_is_the_caller(bench: Bench) -> None:
-    """Whatever the request says of its customer, in whatever case and however often."""
-    lies = "Tenant-Id: other\r\nTENANT-ID: other\r\n"
+def test_key_is_dropped_and_its_customer_is_the_caller(bench: Bench) -> None:
+    """A customer name sent by the caller is dropped, in any case and however often."""
+    forged = "Tenant-Id: other\r\nTENANT-ID: other\r\n"
     for more in ("", "Connection: tenant-id, authorization\r\n"):
-        assert bench.caller().ask(get("/members/1", key() + lies + more)).status == 200
+        assert bench.caller().ask(get("/members/1", key() + forged + more)).status == 200
     assert len(bench.requests) == 2
     for request in bench.requests:
         assert request.customer == LIBRARY
@@ -63,8 +63,8 @@
         assert SECRET not in repr(request)
 
 
-def test_a_trailer_names_no_customer_and_shows_no_key(bench: Bench) -> None:
-    """What comes behind a body is no header: it neither proves nor goes on."""
+def test_trailers_are_ignored_for_authentication(bench: Bench) -> None:
+    """Trailers are neither used for authentication nor forwarded."""
     caller = bench.caller()
     head = "POST /members/1 HTTP/1.1\r\nHost: shop\r\nTransfer-Encoding: chunked\r\n"
     rest = (
@@ -80,15 +80,15 @@
 @pytest.mark.parametrize(
     "headers", ["", key("unknown"), key() + key(), f"Authorization: Basic {SECRET}\r\n"]
 )
-def test_without_a_key_of_anybody(bench: Bench, headers: str) -> None:
-    """Nothing is dispatched; the answer says how to prove oneself."""
+def test_request_without_a_known_key_is_refused(bench: Bench, headers: str) -> None:
+    """The request is not dispatched, and the response names the authentication scheme."""
     reply = bench.caller().ask(get("/members/1", headers))
     assert (reply.status, reply.header("WWW-Authenticate")) == (401, "Token")
     assert bench.requests == []
 
 
-def test_a_route_that_needs_no_key(bench: Bench) -> None:
-    """It takes a request without one, or with one that is nobody's, which ends here too."""
+def test_public_route_accepts_any_request(bench: Bench) -> None:
+    """A public route accepts requests without a key or with an unknown one, and drops the key."""
     caller = bench.caller()
     for headers in ("", key("unknown"), key()):
         assert caller.ask(get("/free/1", headers)).status == 200
@@ -96,16 +96,16 @@
     assert not any(names(request) & {"authorization"} for request in bench.requests)
 
 
-def test_no_body_is_waited_for_of_nobodys_request(bench: Bench) -> None:
-    """It is answered by its head alone, so it costs no memory."""
+def test_unauthenticated_request_is_refused_before_its_body(bench: Bench) -> None:
+    """The response is sent after the head, so an unauthenticated body takes no memory."""
     caller = bench.caller()
     head = f"POST /members/1 HTTP/1.1\r\nHost: shop\r\n{key('x')}Content-Length: 1000000\r\n\r\n"
     caller.send(head.encode())
     assert caller.reply().status == 401
 
 
-def test_a_key_is_looked_at_with_each_request_of_a_connection(bench: Bench) -> None:
-    """Once it is taken away the next one is refused, also of several that were sent at once."""
+def test_key_is_checked_for_each_request_of_a_connection(bench: Bench) -> None:
+    """After a key is revoked the next request is refused, also among pipelined requests."""
     caller = bench.caller()
     assert caller.ask(get("/members/1", key())).status == 200
     bench.view.fleet = fleet("new")
@@ -116,8 +116,8 @@
     assert bench.caller().ask(get("/members/1", key("new"))).status == 200
 
 
-def test_a_key_that_goes_while_its_body_comes(bench: Bench) -> None:
-    """What was let in by its head is looked at again when it is whole."""
+def test_key_revoked_while_the_body_arrives(bench: Bench) -> None:
+    """A request accepted by its head is authenticated again once its body is complete."""
     caller = bench.caller()
     whole = post(b"body", key()).replace(b"/a", b"/members/1")
     caller.send(whole[:-2])
@@ -129,8 +129,8 @@
     assert [request.path for request in bench.requests] == ["/members/0"]
 
 
-def test_without_customers_nobody_needs_a_key() -> None:
-    """And what a request shows goes on, as all headers do."""
+def test_no_key_is_needed_without_customers() -> None:
+    """The `Authorization` header is forwarded like any other."""
     with opened(PLATFORM) as bench:
         assert bench.caller().ask(get("/members/1", key())).status == 200
         (request,) = bench.requests
@@ -138,16 +138,16 @@
         assert "authorization" in names(request)
 
 
-def test_what_no_route_takes_is_for_the_router_to_refuse() -> None:
-    """A node that knows no configuration says so, and an unknown path is not found."""
+def test_unrouted_request_is_left_to_the_router() -> None:
+    """So a node without a configuration and an unknown path get the router's own errors."""
     assert identify(Fleet.empty(), "shop", "/x", "GET", Credential("k")) is None
     access = identify(fleet(SECRET), "shop", "/x", "GET", Credential("k"))
     assert access is not None
     assert access.refusal is None
 
 
-def test_a_key_stands_in_no_line_of_the_log(bench: Bench, capfd: Any, caplog: Any) -> None:
-    """Not for an answer, a refusal, or a request that fails inside."""
+def test_key_is_never_logged(bench: Bench, capfd: Any, caplog: Any) -> None:
+    """Neither for a response, a refusal, nor an internal error."""
 
     def fail(request: Request) -> Served:
         raise ValueError(repr(request))
--- a/tests/test_customer.py
+++ b/tests/test_customer.py
@@ -1,4 +1,4 @@
-"""Customers and their keys: whose a key is, and that no key is ever shown."""
+"""Customers and their keys: lookup by key, and that no key is ever exposed."""
 
 import pytest
 from hypothesis import given
@@ -12,18 +12,18 @@
 SCHOOL = Customer("school")
 
 
-def shown(*values: str, name: str = "Authorization") -> Credential:
-    """Return what a request with these headers shows."""
+def credential(*values: str, name: str = "Authorization") -> Credential:
+    """Return the credential of a request with these header values."""
     headers = [("Accept", "x"), *((name, value) for value in values)]
     return Credential.from_headers(headers, "Authorization", "Token")
 
 
-def test_a_customer_is_found_by_any_of_its_keys() -> None:
-    """Whatever the case of the header's name and its scheme."""
+def test_customer_is_found_by_any_of_its_keys() -> None:
+    """The case of the header name and of the scheme is irrelevant."""
     customers = Customers.from_keys([(LIBRARY, (SECRET, "other")), (SCHOOL, ("third",))])
-    assert customers.find(shown(f"Token {SECRET}")) == LIBRARY
-    assert customers.find(shown("token  other ", name="AUTHORIZATION")) == LIBRARY
-    assert customers.find(shown("Token third")) == SCHOOL
+    assert customers.find(credential(f"Token {SECRET}")) == LIBRARY
+    assert customers.find(credential("token  other ", name="AUTHORIZATION")) == LIBRARY
+    assert customers.find(credential("Token third")) == SCHOOL
 
 
 @pytest.mark.parametrize(
@@ -45,14 +45,14 @@
         ("Token \u00e9",),
     ],
 )
-def test_what_shows_no_key_of_anybody(values: tuple[str, ...]) -> None:
-    """Missing, doubled, oversized, of another form, or unknown."""
+def test_headers_without_a_known_key(values: tuple[str, ...]) -> None:
+    """Missing, repeated, oversized, malformed or unknown keys."""
     customers = Customers.from_keys([(LIBRARY, (SECRET,))])
-    assert customers.find(shown(*values)) is None
+    assert customers.find(credential(*values)) is None
 
 
-def test_a_customer_without_keys_is_nobody() -> None:
-    """And shows that an absent key is nobody's."""
+def test_customer_without_keys_is_never_found() -> None:
+    """A request without a key must not match a customer without keys."""
     customers = Customers.from_keys([(LIBRARY, ())])
     assert customers.find(Credential()) is None
 
@@ -71,16 +71,16 @@
         [(Customer("a", burst=float("inf")), ("a",))],
     ],
 )
-def test_what_makes_no_sense(pairs: list[tuple[Customer, tuple[str, ...]]]) -> None:
-    """A key of two customers, a customer twice, and figures below zero."""
+def test_invalid_customers(pairs: list[tuple[Customer, tuple[str, ...]]]) -> None:
+    """Shared or malformed keys, repeated customers, invalid names and limits."""
     with pytest.raises(CustomerError):
         Customers.from_keys(pairs)
 
 
-def test_a_key_is_in_no_text_of_what_holds_it() -> None:
-    """Neither of a credential, of the table, of what nodes tell each other, nor of an error."""
+def test_key_is_in_no_text() -> None:
+    """Not in the text of a credential, the customer table, the rows sent to nodes, or an error."""
     customers = Customers.from_keys([(LIBRARY, (SECRET,))])
-    texts = [repr(shown(f"Token {SECRET}")), repr(customers), repr(customers.rows())]
+    texts = [repr(credential(f"Token {SECRET}")), repr(customers), repr(customers.rows())]
     for pairs in ([(LIBRARY, (SECRET,)), (SCHOOL, (SECRET,))], [(LIBRARY, (f"{SECRET} ",))]):
         with pytest.raises(CustomerError) as caught:
             Customers.from_keys(pairs)
@@ -88,8 +88,8 @@
     assert not [text for text in texts if SECRET in text]
 
 
-def test_two_readings_of_the_same_keys_share_no_digest() -> None:
-    """So what one deployment told tells nothing of another."""
+def test_digests_differ_between_salts() -> None:
+    """Each deployment has its own salt, so digests of one are useless in another."""
     one, other = (Customers.from_keys([(LIBRARY, (SECRET,))]) for _ in range(2))
     assert one.keys_of("library").isdisjoint(other.keys_of("library"))
 
@@ -99,8 +99,8 @@
 
 
 @given(st.lists(st.tuples(KEYS, FIGURES, FIGURES, st.lists(KEYS, max_size=3)), max_size=8))
-def test_the_written_form_finds_the_same(drawn: list[tuple[str, float, float, list[str]]]) -> None:
-    """As a plain table of keys to names does."""
+def test_lookup_after_round_trip(drawn: list[tuple[str, float, float, list[str]]]) -> None:
+    """Compares lookups after a round trip with a plain dict of keys to names."""
     naive: dict[str, str] = {}
     pairs: list[tuple[Customer, tuple[str, ...]]] = []
     for name, rate, burst, keys in drawn:
@@ -120,7 +120,7 @@
 
 
 @pytest.mark.parametrize("rows", [[1], [["a"]], [["a", None, 1.0, 1.0, 7]], 5, [[5, 1, 1, 1, []]]])
-def test_a_written_form_of_another_shape(rows: object) -> None:
-    """Is an error of its layer, whatever it holds."""
+def test_malformed_rows(rows: object) -> None:
+    """Malformed rows raise `CustomerError`, whatever they hold."""
     with pytest.raises(CustomerError):
         Customers.from_rows(b"salt", rows)  # type: ignore[arg-type]
