--- a/roadpass/log.py
+++ b/roadpass/log.py
@@ -1,7 +1,7 @@
-"""Logs: short sentences or decisions, as text or as JSON lines, that never delay who writes them.
+"""Logging of sentences and decisions, as text or JSON lines, that never blocks the caller.
 
-Whoever logs only formats a line and puts it into a bounded queue. A thread of its own writes the
-queue to standard output; if nobody reads there, lines are dropped and counted.
+The logging thread only formats a line and puts it into a bounded queue. A separate thread writes
+the queue to standard output; if the reader stalls, lines are dropped and counted.
 """
 
 import atexit
@@ -20,11 +20,11 @@
 
 PREFIX = "roadpass."
 STDOUT = 1  # file descriptor
-MAX_LINES = 20_000  # lines; with MAX_LINE_BYTES at most 40 MB wait for a stuck reader
-MAX_LINE_BYTES = 2_000  # bytes without the line's end; a decision needs a few hundred
-EXIT_LIMIT_S = 0.2  # seconds; a reader that is alive needs milliseconds for what is left
-ROUNDED = 3  # decimals; milliseconds are as fine as the clocks of several nodes allow
-CUT = "..."  # stands where a line was cut
+MAX_LINES = 20_000  # lines; with MAX_LINE_BYTES at most 40 MB are queued for a stalled reader
+MAX_LINE_BYTES = 2_000  # bytes without the line break; a decision needs a few hundred
+EXIT_LIMIT_S = 0.2  # seconds; an active reader takes milliseconds for the remaining lines
+ROUNDED = 3  # decimals; clocks of several nodes do not agree beyond milliseconds
+CUT = "..."  # marks truncated text
 RESERVED = frozenset({"at", "mono", "level", "part", "what", "request"})
 
 
@@ -32,7 +32,7 @@
     """`time level part: sentence`, or `time level part: what request=... key=value`."""
 
     def format(self, record: logging.LogRecord) -> str:
-        """Return one line."""
+        """Return one line, followed by the traceback of an exception if there is one."""
         at = self.formatTime(record, "%Y-%m-%dT%H:%M:%S")
         line = f"{at}.{int(record.msecs):03d} {record.levelname.lower()} {_part(record)}: "
         line += record.getMessage()
@@ -44,10 +44,10 @@
 
 
 class JsonFormatter(logging.Formatter):
-    """One JSON object a line, short enough that it is never cut to something else."""
+    """One JSON object a line, shortened before encoding so that a cut does not make it invalid."""
 
     def format(self, record: logging.LogRecord) -> str:
-        """Return one line."""
+        """Return one line with the keys `at`, `mono`, `level`, `part`, and `what` or `text`."""
         value: dict[str, Any] = {
             "at": round(record.created, ROUNDED),
             "mono": round(clock.now(), ROUNDED),
@@ -68,22 +68,23 @@
         """Start the thread.
 
         Args:
-            descriptor: Where lines go.
-            drop_notice: Returns the line that says how many were dropped.
+            descriptor: File descriptor to write to.
+            drop_notice: Returns a line reporting the given number of dropped lines.
         """
         self._descriptor = descriptor
         self._drop_notice = drop_notice
         lock = threading.RLock()  # a finalizer may log while its own thread holds it
         self._filled = threading.Condition(lock)
         self._emptied = threading.Condition(lock)
-        self._queue: deque[tuple[bytes, int]] = deque()  # a line, and how many it stands for
-        self._unwritten = 0  # lines in the queue and in the batch that is being written
+        # Each line with the number of lines that are lost with it, several for a drop notice.
+        self._queue: deque[tuple[bytes, int]] = deque()
+        self._unwritten = 0  # lines in the queue and in the batch being written
         self._dropped = 0
         self._closed = False
         threading.Thread(target=self._run, name="log-writer", daemon=True).start()
 
     def put(self, line: str) -> None:
-        """Queue a line, or drop and count it if there is no room. Never waits for the reader."""
+        """Queue a line, or drop and count it if the queue is full. Never waits for the reader."""
         data = _encoded(line)
         with self._filled:
             if self._closed or self._unwritten >= MAX_LINES:
@@ -95,16 +96,16 @@
         """Wait until all lines are written.
 
         Args:
-            timeout_s: The longest wait.
+            timeout_s: Maximum wait in seconds.
 
         Returns:
-            Whether nothing is left.
+            Whether all lines were written in time.
         """
         with self._emptied:
             return self._emptied.wait_for(lambda: not self._unwritten, timeout_s)
 
     def close(self) -> None:
-        """Take no more lines, and end the thread once it wrote what is there."""
+        """Drop further lines, and end the thread once it has written the queued ones."""
         with self._filled:
             self._closed = True
             self._filled.notify()
@@ -142,7 +143,7 @@
         with self._filled:
             self._unwritten -= len(batch)
             self._dropped += lost
-            # After a failure the note waits for the next line, or it would fail again at once.
+            # After a failed write the notice waits for the next line, as it would fail again now.
             if self._dropped and not lost:
                 self._append(_encoded(self._drop_notice(self._dropped)), self._dropped)
                 self._dropped = 0
@@ -151,38 +152,38 @@
 
 
 class LineHandler(logging.Handler):
-    """Formats records and leaves the lines to a `LineWriter`."""
+    """Formats records and passes the lines to a `LineWriter`."""
 
     def __init__(self, formatter: logging.Formatter, descriptor: int) -> None:
-        """Start the writer of the descriptor."""
+        """Start a writer for the descriptor."""
         super().__init__()
         self.setFormatter(formatter)
         self._writer = LineWriter(descriptor, self._drop_notice)
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Queue a record's line."""
+        """Format a record and queue its line."""
         try:
             self._writer.put(self.format(record))
         except Exception:
             self.handleError(record)
 
     def wait_flushed(self, timeout_s: float) -> bool:
-        """Wait until all lines are written; say whether they are."""
+        """Wait until all lines are written; return whether they were in time."""
         return self._writer.flush(timeout_s)
 
     def close(self) -> None:
-        """End the writer once it wrote what is there."""
+        """Close the writer after it has written the queued lines."""
         self._writer.close()
         super().close()
 
     def _drop_notice(self, dropped: int) -> str:
-        text = f"dropped {dropped} lines that nobody read in time"
+        text = f"dropped {dropped} lines because the log reader is too slow or gone"
         fields = {"name": PREFIX + "log", "levelno": logging.WARNING, "levelname": "WARNING"}
         return self.format(logging.makeLogRecord({**fields, "msg": text}))
 
 
 def set_up(level: str, form: str, descriptor: int = STDOUT) -> None:
-    """Send all logs to standard output, without ever waiting for its reader.
+    """Send all logs to standard output without blocking on its reader.
 
     Args:
         level: `debug`, `info`, `warning` or `error`.
@@ -199,27 +200,27 @@
 
 
 def flush(timeout_s: float) -> bool:
-    """Wait briefly until all lines are written; for the stop.
+    """Wait until all lines are written; called before the process exits.
 
     Args:
-        timeout_s: The longest wait, in all.
+        timeout_s: Maximum wait in seconds, over all handlers.
 
     Returns:
-        Whether nothing is left.
+        Whether all lines were written in time.
     """
     end = clock.now() + timeout_s
     return all(h.wait_flushed(max(0.0, end - clock.now())) for h in _handlers())
 
 
 def pair(key: str, value: object) -> str:
-    """Return `key=value` on one line; texts that are not one plain word are quoted."""
+    """Return `key=value` on one line; a text is quoted unless it is a single printable word."""
     plain = json_value(value)
     is_word = isinstance(plain, str) and plain.isprintable() and not set(plain) & set(' "=')
     return f"{key}={plain if is_word and plain else json.dumps(plain)}"
 
 
 def json_value(value: object) -> Any:
-    """Return a value as JSON knows it: floats rounded, and what is no JSON as its `str`."""
+    """Convert a value to JSON types; floats are rounded, other types become their `str`."""
     if isinstance(value, float):
         return round(value, ROUNDED) if math.isfinite(value) else str(value)
     if value is None or isinstance(value, str | int):
@@ -240,7 +241,7 @@
 
 
 def _fields(record: logging.LogRecord) -> dict[str, Any]:
-    """Return a decision's request and inputs; nothing for other records."""
+    """Return the request and inputs of a decision, empty for other records."""
     decision: dict[str, Any] = getattr(record, "decision", {})
     request = decision.get("request")
     fields = {"request": request} if request else {}
@@ -251,7 +252,7 @@
 
 
 def _short_json(value: dict[str, Any]) -> str:
-    """Return JSON within MAX_LINE_BYTES if cutting the longest text is enough for it."""
+    """Return JSON of at most MAX_LINE_BYTES, if truncating the longest text suffices."""
     line = json.dumps(value)
     excess = len(line) - MAX_LINE_BYTES
     if excess <= 0:
@@ -263,7 +264,7 @@
     room = _json_length(text) - excess - len(CUT)
     if room < _json_length(""):
         return line
-    # The end of an error names it; of other texts the beginning tells more.
+    # A traceback ends with the error itself; of other texts the beginning is more useful.
     at_end = key == "error"
     kept = _fitting(text[-room:] if at_end else text[:room], room, at_end)
     value[key] = CUT + kept if at_end else kept + CUT
@@ -271,7 +272,7 @@
 
 
 def _fitting(text: str, room: int, at_end: bool) -> str:
-    """Return as much of a text as its JSON has room for: its end, or its beginning."""
+    """Return the longest end or beginning of a text whose JSON fits into `room` characters."""
     ends = [len(text) - n if at_end else n for n in range(len(text) + 1)]
     parts = [slice(end, None) if at_end else slice(0, end) for end in ends]
     fits = bisect.bisect_right(parts, room, key=lambda part: _json_length(text[part]))
@@ -291,7 +292,7 @@
 
 
 def _lost(batch: deque[tuple[bytes, int]], written: int) -> int:
-    """Return how many lines of a batch are not within its bytes written."""
+    """Return how many lines of a batch were not written completely."""
     end = lost = 0
     for data, line_count in batch:
         end += len(data)
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -1,4 +1,4 @@
-"""Logs: nobody who logs waits for the reader, and decisions keep their fields."""
+"""Logging: callers never wait for the reader of the log, and decisions keep their fields."""
 
 import json
 import logging
@@ -16,18 +16,18 @@
 from roadpass.decision import decided
 
 CALLS = 50_000
-FAST_S = 20.0  # a blocked call would never end; this only leaves room for slow machines
+FAST_S = 20.0  # generous for slow machines; a blocked call would never return
 LIMIT_S = 30.0
 
 
 class Pipe:
-    """A pipe whose reading end the test holds."""
+    """A pipe of which the test controls the reading end."""
 
     def __init__(self) -> None:
         self.reader, self.writer = os.pipe()
 
     def fill(self) -> int:
-        """Fill it up and return by how many bytes."""
+        """Fill the pipe, and return the number of bytes written."""
         os.set_blocking(self.writer, False)
         filled = 0
         for size in (4096, 1):
@@ -39,14 +39,14 @@
         return filled
 
     def read(self, end: bytes, skip: int = 0) -> list[str]:
-        """Return the lines after some bytes, up to the one that contains a text."""
+        """Return the lines after `skip` bytes, up to the one that contains `end`."""
         data = b""
         while end not in data[skip:] or not data.endswith(b"\n"):
             data += os.read(self.reader, 1 << 20)
         return data[skip:].decode().splitlines()
 
     def close(self) -> None:
-        """Close both ends that are open."""
+        """Close the ends that are still open."""
         for descriptor in (self.reader, self.writer):
             if descriptor >= 0:
                 os.close(descriptor)
@@ -54,7 +54,7 @@
 
 @pytest.fixture
 def pipe() -> Iterator[Pipe]:
-    """A pipe; afterwards logging is as it was, and the writer's thread has ended."""
+    """A pipe; afterwards the logging setup is restored and the writer thread has ended."""
     root, own = logging.getLogger(), logging.getLogger("roadpass")
     before = root.handlers, root.level, own.level
     made = Pipe()
@@ -64,7 +64,7 @@
     root.setLevel(before[1])
     own.setLevel(before[2])
     if made.reader >= 0:
-        os.close(made.reader)  # frees a writer that is stuck
+        os.close(made.reader)  # unblocks a writer thread that waits in a write
         made.reader = -1
     for handler in handlers:
         handler.close()
@@ -79,8 +79,8 @@
 
 
 @pytest.mark.parametrize("blocking", [True, False])
-def test_a_stuck_reader_delays_nobody(pipe: Pipe, blocking: bool) -> None:
-    """50,000 calls end though nobody reads; what was dropped is told exactly."""
+def test_stalled_reader_blocks_no_caller(pipe: Pipe, blocking: bool) -> None:
+    """50,000 calls return although nobody reads; the number of dropped lines is exact."""
     filled = pipe.fill()
     os.set_blocking(pipe.writer, blocking)
     log.set_up("info", "json", pipe.writer)
@@ -99,8 +99,8 @@
     assert log.flush(LIMIT_S)
 
 
-def test_a_reader_that_is_gone(pipe: Pipe) -> None:
-    """Lines are lost, and nobody minds."""
+def test_closed_reader_raises_no_error(pipe: Pipe) -> None:
+    """Lines are lost without an error."""
     os.close(pipe.reader)
     pipe.reader = -1
     log.set_up("info", "text", pipe.writer)
@@ -109,8 +109,8 @@
         assert log.flush(LIMIT_S)
 
 
-def test_lines_lost_with_a_reader_are_told(pipe: Pipe) -> None:
-    """Once a write succeeds again, the count covers notes that were lost too."""
+def test_lost_lines_are_reported(pipe: Pipe) -> None:
+    """Once a write succeeds again, the count includes lines of drop notices that were lost."""
     spare = os.dup(pipe.reader)  # no descriptor to write to, until it is replaced
     writer = log.LineWriter(spare, lambda count: f"dropped {count}")
     for _ in range(3):
@@ -125,8 +125,8 @@
     os.close(spare)
 
 
-def test_the_writer_sleeps_while_there_is_nothing(pipe: Pipe) -> None:
-    """Its thread is not scheduled once."""
+def test_idle_writer_thread_sleeps(pipe: Pipe) -> None:
+    """The thread is not scheduled at all."""
     log.set_up("info", "text", pipe.writer)
     logging.getLogger("roadpass.test").info("one")
     assert log.flush(LIMIT_S)
@@ -142,8 +142,8 @@
     return [line for line in status.read_text().splitlines() if "ctxt_switches" in line]
 
 
-def test_what_waits_goes_out_in_one_write(pipe: Pipe, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Lines put during a write make up the next one."""
+def test_queued_lines_go_out_in_one_write(pipe: Pipe, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Lines queued during a write go out together in the next one."""
     entered, leave, sizes = threading.Event(), threading.Event(), []
 
     real_write = os.write
@@ -168,8 +168,8 @@
     assert sizes == [2, 20]
 
 
-def test_long_lines_are_cut(pipe: Pipe) -> None:
-    """In bytes, between characters; as JSON they stay JSON."""
+def test_long_lines_are_truncated(pipe: Pipe) -> None:
+    """The limit is in bytes, characters stay whole, and JSON lines stay valid JSON."""
     log.set_up("info", "text", pipe.writer)
     logging.getLogger("roadpass.test").info("é" * 3000)
     logging.getLogger("roadpass.test").info("end")
@@ -188,8 +188,8 @@
     assert len(line) > log.MAX_LINE_BYTES - 10
 
 
-def test_a_long_error_keeps_its_end(pipe: Pipe) -> None:
-    """Its end names it."""
+def test_long_error_keeps_its_end(pipe: Pipe) -> None:
+    """A traceback is truncated at its beginning, as the error itself is at its end."""
     log.set_up("info", "json", pipe.writer)
     try:
         raise ValueError("x" * 5000 + " the end")
@@ -201,8 +201,8 @@
     assert error.endswith("x the end")
 
 
-def test_json_that_no_text_makes_long(pipe: Pipe) -> None:
-    """It is cut like any line."""
+def test_long_json_without_long_text_is_truncated(pipe: Pipe) -> None:
+    """If truncating the longest text does not suffice, the line is cut like any other."""
     log.set_up("info", "json", pipe.writer)
     decided("test", "x", many=list(range(2000)))
     decided("test", "end")
@@ -212,7 +212,7 @@
 
 
 class Color(Enum):
-    """No JSON."""
+    """A type that JSON does not have."""
 
     RED = 1
 
@@ -238,7 +238,7 @@
 
 
 def test_decision_as_json(pipe: Pipe) -> None:
-    """Fields are flat and rounded; the line's own keys win."""
+    """Fields are flat and rounded; the standard keys of a line take precedence."""
     before, mono = time.time(), clock.now()
     value = json.loads(_line(pipe, "json"))
     assert before - 0.001 <= value.pop("at") <= time.time() + 0.001
@@ -267,7 +267,7 @@
 
 
 def test_plain_records_as_json(pipe: Pipe) -> None:
-    """They have a text, and nothing of a decision."""
+    """Their text is under `text`, without the keys of a decision."""
     log.set_up("info", "json", pipe.writer)
     logging.getLogger("roadpass.test").warning("a %s", "sentence")
     value = json.loads(pipe.read(b"sentence")[0])
@@ -275,12 +275,12 @@
     assert value["text"] == "a sentence"
 
 
-def test_no_work_while_the_level_is_off(pipe: Pipe) -> None:
-    """Inputs are not even looked at."""
+def test_disabled_level_formats_nothing(pipe: Pipe) -> None:
+    """Inputs are not formatted if the level is disabled."""
 
     class Costly:
         def __str__(self) -> str:
-            raise AssertionError("it was looked at")
+            raise AssertionError("the input was formatted")
 
     log.set_up("warning", "json", pipe.writer)
     decided("test", "nothing", value=Costly())
