--- a/roadpass/admin.py
+++ b/roadpass/admin.py
@@ -1,4 +1,4 @@
-"""The administration API: HTTP on an address of its own, read-only."""
+"""The administration API: read-only HTTP on a separate port."""
 
 import json
 import logging
@@ -18,7 +18,7 @@
 
 
 class Page(NamedTuple):
-    """An answer of the API."""
+    """A response of the API."""
 
     status: int
     content_type: str
@@ -26,7 +26,7 @@
 
     @classmethod
     def from_value(cls, value: Any, *, status: int = 200) -> "Page":
-        """Build a JSON page."""
+        """Serialize a value as a JSON page."""
         return cls(status, JSON, (json.dumps(value, indent=1) + "\n").encode())
 
 
@@ -35,7 +35,7 @@
 
 
 class _AdminGateway(WebGateway):
-    """Finds the page of a path."""
+    """Dispatches requests to the page handlers."""
 
     def answer(self) -> None:
         pages: Mapping[str, Handler] = self.req.server.owner
@@ -57,11 +57,11 @@
 
 
 class Admin(Actor):
-    """Owns the administration socket.
+    """Serves the administration API.
 
     Args:
-        settings: Of this node.
-        pages: Handlers by path.
+        settings: Settings of this node.
+        pages: Handlers by path, called from several server threads.
     """
 
     def __init__(self, settings: Settings, pages: Mapping[str, Handler]) -> None:
@@ -70,10 +70,10 @@
         self._server = WebServer(address, _AdminGateway, pages, threads=THREADS)
 
     def on_start(self) -> None:
-        """Listen."""
+        """Start to listen."""
         self._server.start_thread()
         _log.info("listening for operators on %s:%d", *self._server.bind_addr)
 
     def on_stop(self) -> None:
-        """Stop to listen."""
+        """Stop listening."""
         self._server.stop()
--- a/roadpass/audit.py
+++ b/roadpass/audit.py
@@ -1,4 +1,4 @@
-"""The audit trail: what changed on this node, and why; in memory, bounded, also in the log."""
+"""The audit trail: changes on this node and their reasons, bounded in memory and also logged."""
 
 import logging
 import threading
@@ -14,7 +14,7 @@
 
 
 class Kind(StrEnum):
-    """Kinds of events."""
+    """Kinds of audit events; the values appear in logs and on the audit page."""
 
     START = "start"
     STOP = "stop"
@@ -30,7 +30,7 @@
 
 
 class Event(NamedTuple):
-    """One event; `at` is seconds since the epoch."""
+    """One audit event; `at` is seconds since the epoch, `number` counts up from 1."""
 
     number: int
     at: float
@@ -40,10 +40,10 @@
 
 
 class AuditTrail:
-    """Keeps the latest events; safe for any thread.
+    """Keeps the latest events; thread-safe.
 
     Args:
-        max_events: How many are kept.
+        max_events: Number of events that are kept.
     """
 
     def __init__(self, *, max_events: int = MAX_EVENTS) -> None:
@@ -52,7 +52,7 @@
         self._lock = threading.Lock()
 
     def record(self, kind: Kind, subject: str, evidence: str) -> None:
-        """Add an event and log it."""
+        """Add an event and log it; evidence over `MAX_EVIDENCE` characters is truncated."""
         shortened = evidence[:MAX_EVIDENCE]
         with self._lock:
             self._count += 1
--- a/roadpass/errors.py
+++ b/roadpass/errors.py
@@ -1,14 +1,14 @@
-"""The exception tree; each layer raises its own branch and turns those from below into it."""
+"""The exception hierarchy; each layer converts errors of the layers below to its own branch."""
 
 from collections.abc import Sequence
 
 
 class RoadpassError(Exception):
-    """Root of all errors that roadpass raises itself."""
+    """Base class of all errors that roadpass raises itself."""
 
 
 class SettingsError(RoadpassError):
-    """A settings file cannot be used."""
+    """A settings file is unreadable or invalid."""
 
     def __init__(self, source: str, problems: Sequence[str]) -> None:
         self.source = source
@@ -17,7 +17,7 @@
 
 
 class DocumentError(RoadpassError):
-    """A fleet document or manifest is not valid."""
+    """A fleet document or manifest is invalid."""
 
     def __init__(self, source: str, problems: Sequence[str]) -> None:
         self.source = source
@@ -26,19 +26,19 @@
 
 
 class IncompleteError(DocumentError):
-    """A revision came without all of its documents; it may come whole another time."""
+    """A revision arrived without some of its documents; a later attempt may succeed."""
 
 
 class CustomerError(RoadpassError):
-    """Customers or their keys make no sense together; the text never shows a key."""
+    """Customers or their keys are invalid or contradictory; the message never contains a key."""
 
 
 class StreamError(RoadpassError):
-    """A peer stream failed; it is closed and never reused."""
+    """A stream to a peer failed; it is closed and never reused."""
 
 
 class ConnectError(StreamError):
-    """No byte of the frame was written: the peer could not be reached."""
+    """The peer could not be reached; no byte of the frame was written."""
 
 
 class FrameError(StreamError):
@@ -50,11 +50,11 @@
 
 
 class PlatformError(RoadpassError):
-    """The platform did not answer, or answered with something unusable."""
+    """The platform did not respond, or its response is unusable."""
 
 
 class TargetError(RoadpassError):
-    """A target did not give a whole answer."""
+    """A target did not send a complete response."""
 
 
 class TargetRefusedError(TargetError):
--- a/roadpass/label.py
+++ b/roadpass/label.py
@@ -1,4 +1,4 @@
-"""Labels and their matching."""
+"""Matching of labels."""
 
 from collections.abc import Mapping
 from typing import TypeAlias
@@ -8,7 +8,7 @@
 
 
 def matches(match: Match, labels: Labels) -> bool:
-    """Tell whether labels meet a match: for each key, one of its values; `*` is any value."""
+    """Return whether labels have one of the wanted values for each key; `*` matches any value."""
     for key, wanted in match.items():
         value = labels.get(key)
         if value is None:
@@ -19,7 +19,7 @@
 
 
 def match_from_config(value: Mapping[str, str | list[str]]) -> Match:
-    """Build a match from its written form, where a single value may stand alone."""
+    """Build a match from its configured form, in which a single value needs no list."""
     return {
         key: (wanted,) if isinstance(wanted, str) else tuple(wanted)
         for key, wanted in value.items()
--- a/roadpass/metric.py
+++ b/roadpass/metric.py
@@ -1,4 +1,4 @@
-"""Metrics: HDR histograms of latency and counters of outcomes, also in the Prometheus format."""
+"""Metrics: HDR histograms of latency and counters, also in the Prometheus text format."""
 
 import threading
 from collections import Counter
@@ -14,7 +14,7 @@
 
 
 class OutcomeKey(NamedTuple):
-    """What outcomes are counted by."""
+    """Labels by which outcomes are counted."""
 
     service: str
     traffic_class: str
@@ -23,7 +23,7 @@
 
 
 class Metrics:
-    """Counters and histograms of one node; safe for any thread."""
+    """Counters and histograms of one node; thread-safe."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
@@ -32,7 +32,7 @@
         self._counters: Counter[str] = Counter()
 
     def record(self, key: OutcomeKey, latency_s: float) -> None:
-        """Count a request's outcome and its latency at this ingress."""
+        """Record a request's outcome and its latency at this ingress."""
         with self._lock:
             self._outcomes[key] += 1
             histogram = self._latency.get(key.service)
@@ -42,21 +42,21 @@
             histogram.record_value(max(LOWEST_US, int(latency_s * 1e6)))
 
     def count(self, name: str, by: int = 1) -> None:
-        """Add to a plain counter."""
+        """Add to a plain counter, which starts at 0."""
         with self._lock:
             self._counters[name] += by
 
     def get(self, name: str) -> int:
-        """Return a plain counter."""
+        """Return a plain counter, 0 if it was never counted."""
         return self._counters[name]
 
     def counters(self) -> dict[str, int]:
-        """Return all plain counters."""
+        """Return a copy of all plain counters."""
         with self._lock:
             return dict(self._counters)
 
     def summary(self) -> dict[str, Any]:
-        """Return all metrics as plain values; latencies in milliseconds."""
+        """Return all metrics as JSON values; latencies in milliseconds."""
         with self._lock:
             latency = {
                 service: {
@@ -85,7 +85,7 @@
 
 
 class _Collector:
-    """Feeds the Prometheus library from a summary."""
+    """Custom Prometheus collector over the metrics summary."""
 
     def __init__(self, metrics: Metrics) -> None:
         self._metrics = metrics
--- a/roadpass/settings.py
+++ b/roadpass/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one `roadpassd` process."""
+"""Settings of one `roadpassd` process, read from a file in JSON with comments."""
 
 from collections.abc import Mapping
 from pathlib import Path
@@ -15,7 +15,7 @@
 
 
 class Ports(NamedTuple):
-    """Port numbers of a node; `metrics` is 0 where the administration port serves for them."""
+    """Port numbers of a node; `metrics` is 0 if metrics are served on the administration port."""
 
     callers: int
     stream: int
@@ -28,10 +28,10 @@
     """The users' store as the source of targets and configuration; see `catalogue.Policy`.
 
     Args:
-        in_force_s: Seconds within which what the store took must be in force on every node.
-        quota_window_s: Seconds of the windows in which customers' limits count.
-        quota_over: Share of a limit that is borne beyond it.
-        quota_slack: Requests in a window that are borne beyond that.
+        in_force_s: Seconds within which a change in the store must be in force on every node.
+        quota_window_s: Length in seconds of the windows in which customers' limits apply.
+        quota_over: Tolerated excess as a share of the limit.
+        quota_slack: Requests per window that are tolerated in addition.
     """
 
     address: str
@@ -47,12 +47,12 @@
 
     @property
     def quota_policy(self) -> QuotaPolicy:
-        """How exactly customers' limits are to be kept."""
+        """How precisely customers' limits are enforced."""
         return QuotaPolicy(self.quota_window_s, self.quota_over, self.quota_slack)
 
 
 class Settings(NamedTuple):
-    """Checked settings; times are in seconds."""
+    """Validated settings; times are in seconds."""
 
     vm: str
     hall: str
@@ -75,13 +75,13 @@
 
     @classmethod
     def from_config(cls, path: Path) -> "Settings":
-        """Read and check a settings file.
+        """Read and validate a settings file.
 
         Args:
             path: File in JSON with comments.
 
         Raises:
-            SettingsError: The file cannot be read or is not valid.
+            SettingsError: The file cannot be read or is invalid.
         """
         try:
             text = path.read_text(encoding="utf-8")
@@ -134,7 +134,7 @@
 
 
 def _seconds(value: float | str) -> float:
-    """Read seconds, or a text such as `1500ms` or `2.5s`."""
+    """Parse a number of seconds, or a text such as `1500ms` or `2.5s`."""
     if not isinstance(value, str):
         return float(value)
     if value.endswith("ms"):
--- a/roadpass/settings_file.py
+++ b/roadpass/settings_file.py
@@ -1,4 +1,4 @@
-"""The settings file of a running process: read again on a signal, or when it has changed."""
+"""Reloads the settings file of a running process on a signal, or when the file has changed."""
 
 import logging
 import os
@@ -9,17 +9,17 @@
 from roadpass.settings import Settings
 
 CHECK_S = 1.0
-"""Seconds between looks at whether the file changed, where no signal says so."""
+"""Seconds between checks for changes of the file without a signal."""
 
 _log = logging.getLogger("roadpass.settings")
 
 
 class SettingsFile:
-    """Watches the file that the settings in force came from.
+    """Watches the file from which the settings in force were read.
 
     Args:
-        path: Of the file.
-        settings: As they were read at the start.
+        path: Path of the file.
+        settings: Settings as read at the start.
     """
 
     def __init__(self, path: Path, settings: Settings) -> None:
@@ -29,13 +29,13 @@
         self._next_check = 0.0
 
     def poll(self, now: float, *, signalled: bool) -> Settings | None:
-        """Return other settings than those in force, `None` if there are none.
+        """Return the settings if they have changed, else `None`.
 
-        What cannot be used is logged, and the settings in force stay.
+        If the file is unreadable or invalid, that is logged and the settings in force stay.
 
         Args:
             now: Clock seconds.
-            signalled: Whether a signal says that the file changed.
+            signalled: Whether a signal asks to read the file now.
         """
         if not signalled and now < self._next_check:
             return None
@@ -51,7 +51,7 @@
             settings = Settings.from_config(self._path)
         except SettingsError as error:
             for problem in error.problems:
-                _log.error("settings not read again, the old ones stay: %s", problem)
+                _log.error("cannot reload settings, keeping those in force: %s", problem)
             return None
         old, self._settings = self._settings, settings
         changed = [
@@ -61,10 +61,10 @@
         return settings if changed else None
 
     def _signature(self) -> tuple[int, int, int]:
-        """Return what differs once the file was written or replaced."""
+        """Return modification time, inode and size; a written or replaced file differs in them."""
         try:
             stat = os.stat(self._path)
         except OSError as error:
-            _log.warning("the settings file cannot be seen: %s", error)
+            _log.warning("cannot stat the settings file: %s", error)
             return 0, 0, 0
         return stat.st_mtime_ns, stat.st_ino, stat.st_size
