--- a/roadpass/customer.py
+++ b/roadpass/customer.py
@@ -70,9 +70,9 @@
         values = [value for given, value in headers if given.lower() == wanted]
         if len(values) != 1:
             return cls(shown=bool(values))
-        word, _, key = values[0].strip(" \t").partition(" ")
+        given_scheme, _, key = values[0].strip(" \t").partition(" ")
         key = key.strip(" ")
-        fits = word.lower() == scheme.lower() and may_be_key(key)
+        fits = given_scheme.lower() == scheme.lower() and may_be_key(key)
         return cls(key if fits else "", shown=True)
 
     def __repr__(self) -> str:
--- a/roadpass/quota.py
+++ b/roadpass/quota.py
@@ -98,10 +98,10 @@
         over it. So `TOLERANCE_USED` of the tolerated excess is granted, and the rest is left for
         requests that the owner counts late.
         """
-        beyond = 1.0 + TOLERANCE_USED * self.excess_share
+        excess_factor = 1.0 + TOLERANCE_USED * self.excess_share
         slack = TOLERANCE_USED * self.slack
-        rate_per_s = rate_per_s * beyond + slack / self.window_s
-        return Limit(rate_per_s, burst * beyond, self.window_s, slack)
+        rate_per_s = rate_per_s * excess_factor + slack / self.window_s
+        return Limit(rate_per_s, burst * excess_factor, self.window_s, slack)
 
 
 class Report(NamedTuple):
--- a/roadpass/quota_gate.py
+++ b/roadpass/quota_gate.py
@@ -82,7 +82,7 @@
         return len(self._demands)
 
     def admit(self, now: float, customer: str, limit: Limit, fleet_size: int) -> float:
-        """Decide on one request.
+        """Decide whether to admit one request.
 
         Args:
             now: Clock seconds.
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -137,8 +137,8 @@
     """A new account starts with the plain rate and without an immediate burst."""
     ledger = QuotaLedger()
     limit = Limit(10.0, 100.0)
-    word = ledger.apply_report(0.0, "vm", Report(NAME, 1, 5, 5, 100.0), limit, 1.0)
-    assert word.share <= 0.01 + limit.rate_per_s / 100.0
+    allowance = ledger.apply_report(0.0, "vm", Report(NAME, 1, 5, 5, 100.0), limit, 1.0)
+    assert allowance.share <= 0.01 + limit.rate_per_s / 100.0
 
 
 def test_allowances_are_accepted_from_the_reported_owner_only() -> None:
@@ -183,10 +183,10 @@
     owners = {name: owner_of(name, nodes) for name in names}
     assert owners == {name: owner_of(name, reversed(nodes)) for name in names}
     assert len(set(owners.values())) == len(nodes)
-    gone = nodes[7]
+    removed = nodes[7]
     for name in names:
-        left = owner_of(name, [node for node in nodes if node != gone])
-        assert left == owners[name] or owners[name] == gone
+        remaining_owner = owner_of(name, [node for node in nodes if node != removed])
+        assert remaining_owner == owners[name] or owners[name] == removed
     assert owner_of("a", []) == ""
 
 
@@ -206,27 +206,27 @@
 ) -> None:
     """Shares stay between 0 and 1, counts are consistent, and an idle customer is discarded."""
     gate, ledgers, now = QuotaGate(1), {"a": QuotaLedger(), "b": QuotaLedger()}, 0.0
-    words: list[tuple[str, Allowance]] = []
+    allowances: list[tuple[str, Allowance]] = []
     for wait_s, what, vm, share in steps:
         now += wait_s
         match what:
             case "ask":
                 wait = gate.admit(now, NAME, LIMIT, NODES)
                 assert wait == 0.0 or RETRY_MIN_S <= wait <= RETRY_MAX_S
-            case "hear" if words:
-                gate.receive(now, *words.pop())
+            case "hear" if allowances:
+                gate.receive(now, *allowances.pop())
             case "hear":
                 gate.receive(now, vm, Allowance(NAME, share, share))
-            case "lose" if words:
-                words.pop()
+            case "lose" if allowances:
+                allowances.pop()
             case _:
                 for owner, reports in gate.due(now, [vm]).items():
                     for report in reports:
                         assert 0 <= report.admitted <= report.wanted
-                        word = ledgers[owner].apply_report(now, "vm", report, LIMIT, 1.0)
-                        assert 0.0 < word.share <= 1.0
-                        assert word.part_per_s >= 0.0
-                        words.append((owner, word))
+                        allowance = ledgers[owner].apply_report(now, "vm", report, LIMIT, 1.0)
+                        assert 0.0 < allowance.share <= 1.0
+                        assert allowance.part_per_s >= 0.0
+                        allowances.append((owner, allowance))
     gate.due(now + 100.0, ["a"])
     assert gate.size == 0
 
--- a/tests/test_stop.py
+++ b/tests/test_stop.py
@@ -52,7 +52,7 @@
 
 
 def waits(stage: Stopping, node: int, name: str) -> bool:
-    """Tell whether a node has logged that no slot was free for a request."""
+    """Return whether a node has logged that no slot was free for a request."""
     lines = [line for line in stage.log(node) if line.get("request") == name]
     return any("no-free-slot" in str(line.get("outcome")) for line in lines)
 
