--- a/roadpass/catalogue.py
+++ b/roadpass/catalogue.py
@@ -134,14 +134,14 @@
                 case ConfigPublished(config=config):
                     changed |= self._take_config(config)
                 case TargetPublished(entry=entry):
-                    if not self._revived.hold(now, entry, restored=restored, whole=changes.whole):
+                    if not self._revived.hold(now, entry, restored=restored, full=changes.full):
                         changed |= self._take_target(entry)
                 case TargetWithdrawn(instance=instance):
                     self._withdraw(now, known_at, instance)
                 case Unusable(instance=instance):
                     unusable.append(change)
                     self._withdraw(now, known_at, instance)
-        if changes.whole:
+        if changes.full:
             self._withdraw_missing(now, known_at, changes, ended=not restored)
         return changed, unusable
 
--- a/roadpass/configuration.py
+++ b/roadpass/configuration.py
@@ -15,7 +15,7 @@
 _log = logging.getLogger("roadpass.configuration")
 
 
-class Offer(NamedTuple):
+class RevisionOffer(NamedTuple):
     """A revision that a source has; documents are those that were missing here."""
 
     manifest: Manifest
@@ -54,12 +54,12 @@
     def handle(self, message: Any) -> None:
         """Handle one message."""
         match message:
-            case Offer():
+            case RevisionOffer():
                 self._on_offer(message)
             case _:
                 _log.error("unknown message %r", message)
 
-    def _on_offer(self, offer: Offer) -> None:
+    def _on_offer(self, offer: RevisionOffer) -> None:
         version = offer.manifest.version
         match compare(self._store.held.version, version):
             case Order.SAME:
--- a/roadpass/journal.py
+++ b/roadpass/journal.py
@@ -38,7 +38,7 @@
         self._targets: dict[str, TargetPublished] = {}
         self._readings: deque[_Reading] = deque(maxlen=KEPT)
 
-    def note(self, changes: Changes, at: float) -> None:
+    def record(self, changes: Changes, at: float) -> None:
         """Note what a reading brought.
 
         Args:
@@ -46,7 +46,7 @@
             at: Clock seconds at which the source had nothing newer.
         """
         with self._lock:
-            if changes.whole:
+            if changes.full:
                 self._readings.clear()
                 self._targets.clear()
             else:
@@ -79,7 +79,7 @@
             if after >= self._position or known:
                 changes = Changes(self._position, self._later(after))
             else:
-                changes = Changes(self._position, self._all(), whole=True)
+                changes = Changes(self._position, self._all(), full=True)
             return News(changes, self._at, self._away_at)
 
     def _apply(self, change: Change) -> None:
--- a/roadpass/monotonic.py
+++ b/roadpass/monotonic.py
@@ -41,7 +41,7 @@
                     yield self._newest_entry(change)
                 case _:
                     yield change
-        if changes.whole and not named and self._config is not None:
+        if changes.full and not named and self._config is not None:
             yield self._config
 
     def _newest_config(self, change: ConfigPublished) -> ConfigPublished:
--- a/roadpass/news.py
+++ b/roadpass/news.py
@@ -78,7 +78,7 @@
         changes += [TargetWithdrawn(instance) for instance in message["withdrawn"]]
         away_age_s = message.get("away_age_s")
         return cls(
-            Changes(Position.from_message(message), tuple(changes), whole=message["whole"]),
+            Changes(Position.from_message(message), tuple(changes), full=message["whole"]),
             asked_at - message["age_s"],
             None if away_age_s is None else asked_at - away_age_s,
         )
@@ -89,7 +89,7 @@
             "t": "news",
             **self.changes.position.to_message(),
             "age_s": max(0.0, now - self.at),
-            "whole": self.changes.whole,
+            "whole": self.changes.full,
             "targets": [],
             "withdrawn": [],
         }
@@ -110,7 +110,7 @@
         return message
 
 
-def ask(peers: PeerPool, address: Address, after: Position) -> News:
+def fetch_update(peers: PeerPool, address: Address, after: Position) -> News:
     """Ask a peer for what the source told after a position.
 
     Raises:
--- a/roadpass/node.py
+++ b/roadpass/node.py
@@ -24,7 +24,7 @@
 from roadpass.manifest import Platform
 from roadpass.metric import Metrics
 from roadpass.monitor import HealthMonitor
-from roadpass.news import ask
+from roadpass.news import fetch_update
 from roadpass.pages import Pages, Shown
 from roadpass.pause import PauseWatch
 from roadpass.peer import PeerPool
@@ -174,8 +174,8 @@
                 on_fleet=self._board.on_published,
                 on_peers=self._board.on_peers,
                 on_confirmed=self._board.on_confirmed,
-                ask=lambda address, after: ask(self._peers, address, after),
-                standing=lambda: self._board.standing,
+                fetch_update=lambda address, after: fetch_update(self._peers, address, after),
+                reader_rank=lambda: self._board.reader_rank,
             ),
             self.audit,
             self._rng,
--- a/roadpass/patch.py
+++ b/roadpass/patch.py
@@ -32,7 +32,7 @@
     return _decompress(zstandard.ZstdDecompressor(dict_data=dictionary), patch)
 
 
-def offer(held: Held, have: dict[str, str]) -> Message:
+def build_revision_reply(held: Held, have: dict[str, str]) -> Message:
     """Build the answer to a peer's pull.
 
     Args:
@@ -49,7 +49,7 @@
     return {"t": "revision", "manifest": manifest.to_value(), "documents": documents}
 
 
-def receive(held: Held, message: Message) -> tuple[Manifest, list[bytes]]:
+def read_revision_reply(held: Held, message: Message) -> tuple[Manifest, list[bytes]]:
     """Unpack a peer's answer.
 
     Raises:
--- a/roadpass/platform/store.py
+++ b/roadpass/platform/store.py
@@ -69,7 +69,7 @@
                 raise HistoryLostError("The store was restored between two pages.")
             position = at if position is None else min(position, at)
             if not after:
-                return Changes(position, tuple(changes), whole=True)
+                return Changes(position, tuple(changes), full=True)
         raise PlatformError(f"The store has more than {PAGES} pages.")
 
     def watch(self, after: Position, wait_s: float) -> Changes:
--- a/roadpass/reader.py
+++ b/roadpass/reader.py
@@ -12,11 +12,11 @@
 from roadpass._actor import Actor
 from roadpass._generated.message_types import Pull
 from roadpass.audit import AuditTrail, Kind
-from roadpass.configuration import Offer, Store
+from roadpass.configuration import RevisionOffer, Store
 from roadpass.errors import DocumentError, PlatformError, StreamError
 from roadpass.manifest import Platform, VmEntry
 from roadpass.metric import Metrics
-from roadpass.patch import receive
+from roadpass.patch import read_revision_reply
 from roadpass.peer import Address, PeerPool
 from roadpass.revision import Held, Manifest, Version
 from roadpass.settings import Settings
@@ -62,7 +62,7 @@
 class ReaderEvents(NamedTuple):
     """What the reader calls; none of them may block."""
 
-    offer: Callable[[Offer], None]
+    offer: Callable[[RevisionOffer], None]
     on_platform: Callable[[], None]
     on_vms: Callable[[list[VmEntry]], None]
 
@@ -167,11 +167,11 @@
     def _fetch(self, manifest: Manifest) -> None:
         held = self._store.held
         if manifest.version < held.version:
-            self._events.offer(Offer(manifest, (), "the platform"))
+            self._events.offer(RevisionOffer(manifest, (), "the platform"))
         if manifest.version <= held.version or manifest.version in self._bad:
             return
         documents = [self._platform.document(entry) for entry in held.missing(manifest)]
-        self._events.offer(Offer(manifest, tuple(documents), "the platform"))
+        self._events.offer(RevisionOffer(manifest, tuple(documents), "the platform"))
         self._remember_unless_taken(manifest.version)
 
     def _remember_unless_taken(self, version: Version) -> None:
@@ -210,7 +210,7 @@
             self._audit.record(Kind.PLATFORM, self._settings.platform_url, why)
 
 
-class VersionHeard(NamedTuple):
+class VersionAnnounced(NamedTuple):
     """A peer holds a newer version."""
 
     version: Version
@@ -234,7 +234,7 @@
         self,
         peers: PeerPool,
         store: Store,
-        offer: Callable[[Offer], None],
+        offer: Callable[[RevisionOffer], None],
         metrics: Metrics,
     ) -> None:
         super().__init__()
@@ -248,12 +248,12 @@
     def handle(self, message: Any) -> None:
         """Handle one message."""
         match message:
-            case VersionHeard():
+            case VersionAnnounced():
                 self._on_news(message)
             case _:
                 _log.error("unknown message %r", message)
 
-    def _on_news(self, news: VersionHeard) -> None:
+    def _on_news(self, news: VersionAnnounced) -> None:
         now = clock.now()
         held = self._store.held
         recent = now - self._offered.get(news.version, float("-inf")) < PULL_S
@@ -269,7 +269,9 @@
         manifest, documents = pulled
         self._offered = {v: at for v, at in self._offered.items() if now - at < PULL_S}
         self._offered[manifest.version] = now
-        self._offer(Offer(manifest, tuple(documents), f"peer {news.address[0]}:{news.address[1]}"))
+        self._offer(
+            RevisionOffer(manifest, tuple(documents), f"peer {news.address[0]}:{news.address[1]}")
+        )
 
     def _pull_either_way(self, held: Held, address: Address) -> tuple[Manifest, list[bytes]] | None:
         for patches in (True, False):
@@ -290,4 +292,4 @@
             raise StreamError("The peer did not send a revision.")
         for document in reply["documents"]:
             self._metrics.count(PULLS_BYTES, len(document["data"]))
-        return receive(held, reply)
+        return read_revision_reply(held, reply)
--- a/roadpass/reading_log.py
+++ b/roadpass/reading_log.py
@@ -42,7 +42,7 @@
         **logged(after, "after"),
         **logged(changes.position, "store_revision"),
         changes=len(changes.changes),
-        whole=changes.whole,
+        whole=changes.full,
         config=configs[-1].version if configs else None,
         config_held=config_held,
         news_age_s=_age_s(news_at),
--- a/roadpass/reading_turn.py
+++ b/roadpass/reading_turn.py
@@ -30,7 +30,7 @@
 takes, and short, since after a loss of all nodes there is nobody to give it."""
 
 
-class Standing(NamedTuple):
+class ReaderRank(NamedTuple):
     """Where a node stands in its data hall.
 
     Args:
@@ -59,22 +59,22 @@
         """Seconds to rest after changes."""
         return REST * self._bound_s
 
-    def patience_s(self, standing: Standing) -> float:
+    def patience_s(self, reader_rank: ReaderRank) -> float:
         """Return how old the word that nothing is newer may be before this node reads."""
-        if standing.place == 0:
+        if reader_rank.place == 0:
             return 0.0
-        late = CHANCE * self._chance if standing.place > LAST_STEP else 0.0
-        steps = min(standing.place, LAST_STEP)
+        late = CHANCE * self._chance if reader_rank.place > LAST_STEP else 0.0
+        steps = min(reader_rank.place, LAST_STEP)
         return (PATIENCE + PATIENCE_STEP * steps + late) * self._bound_s
 
-    def is_due(self, standing: Standing, age_s: float) -> bool:
+    def is_due(self, reader_rank: ReaderRank, age_s: float) -> bool:
         """Tell whether to read now.
 
         Args:
-            standing: Of this node.
+            reader_rank: Of this node.
             age_s: Age of the word that nothing is newer.
         """
-        return age_s >= self.patience_s(standing)
+        return age_s >= self.patience_s(reader_rank)
 
     def wait_s(self, age_s: float) -> float:
         """Return how long the reading may wait for changes: the staler the word, the shorter."""
--- a/roadpass/revived.py
+++ b/roadpass/revived.py
@@ -36,20 +36,20 @@
         if len(self._withdrawn) > WITHDRAWN_KEPT:
             del self._withdrawn[next(iter(self._withdrawn))]
 
-    def hold(self, now: float, entry: TargetEntry, *, restored: bool, whole: bool) -> bool:
+    def hold(self, now: float, entry: TargetEntry, *, restored: bool, full: bool) -> bool:
         """Tell whether an entry is held.
 
         Args:
             now: Clock seconds.
             entry: As it was read.
             restored: Whether it is from the first reading since the source was restored.
-            whole: Whether it is from a whole reading, in which it may be as old as the backup.
+            full: Whether it is from a whole reading, in which it may be as old as the backup.
         """
         held = self._held.get(entry.instance)
         if restored and entry.name in self._withdrawn:
             self._held[entry.instance] = _Held(entry, now + HELD_S)
             return True
-        if whole and held is not None and held.entry.name == entry.name:
+        if full and held is not None and held.entry.name == entry.name:
             self._held[entry.instance] = held._replace(entry=entry)
             return True
         self.discard(entry.instance)
--- a/roadpass/source.py
+++ b/roadpass/source.py
@@ -121,12 +121,12 @@
     Args:
         position: Where to go on from.
         changes: In the order in which they happened.
-        whole: Whether this is all there is, so that whatever it does not name is gone.
+        full: Whether this is all there is, so that whatever it does not name is gone.
     """
 
     position: Position
     changes: tuple[Change, ...]
-    whole: bool = False
+    full: bool = False
 
 
 class HistoryLostError(PlatformError):
--- a/roadpass/store_reader.py
+++ b/roadpass/store_reader.py
@@ -40,7 +40,7 @@
     log_unanswered,
     logged,
 )
-from roadpass.reading_turn import FIRST_WORD_S, ReadingTurn, Standing
+from roadpass.reading_turn import FIRST_WORD_S, ReaderRank, ReadingTurn
 from roadpass.source import (
     Changes,
     HistoryLostError,
@@ -78,15 +78,15 @@
         on_peers: Targets beside which there are, or were a while ago, other nodes.
         on_confirmed: The source had nothing newer than a position at a moment, in monotonic
             seconds; and whether this node read that itself, so that others want to hear of it.
-        ask: Asks a peer for what came after a position; may raise `StreamError`.
-        standing: Returns where this node stands among the readers.
+        fetch_update: Asks a peer for what came after a position; may raise `StreamError`.
+        reader_rank: Returns where this node stands among the readers.
     """
 
     on_fleet: Callable[[Fleet, PublishedConfig], None]
     on_peers: Callable[[Sequence[TargetEntry]], None]
     on_confirmed: Callable[[Position, float, bool], None]
-    ask: Callable[[Address, Position], News]
-    standing: Callable[[], Standing]
+    fetch_update: Callable[[Address, Position], News]
+    reader_rank: Callable[[], ReaderRank]
 
 
 class StoreReader(Actor):
@@ -139,7 +139,7 @@
     def on_start(self) -> None:
         """Find peers, and begin to look."""
         self._caller = SourceCaller.start(self._source, self.actor_ref)
-        self._asker = PeerAsker.start(self._events.ask, self.actor_ref)
+        self._asker = PeerAsker.start(self._events.fetch_update, self.actor_ref)
         self._find_peers()
         self._ticker.start()
 
@@ -201,7 +201,7 @@
         """Tell whether this node is to read the source now, and does not do so yet."""
         if self._calling is not None or now < self._rest_until:
             return False
-        return self._turn.is_due(self._events.standing(), now - self._confirmed_at)
+        return self._turn.is_due(self._events.reader_rank(), now - self._confirmed_at)
 
     def _on_peer_position(self, peer: PeerPosition) -> None:
         """Hear up to where a peer holds the source: what it holds beyond this node is asked for."""
@@ -318,10 +318,10 @@
         self._position = changes.position
         self._behind_since = math.inf
         changes = self._reads.apply(changes)
-        self._journal.note(changes, at)
+        self._journal.record(changes, at)
         self._name_peers(changes)
         changed, unusable = self._catalogue.take(clock.now(), changes, known_at=known_at)
-        self._unusable.report(changes.changes, unusable, whole=changes.whole and not origin)
+        self._unusable.report(changes.changes, unusable, full=changes.full and not origin)
         self._publish(changed, origin)
         self._confirm(at, own=not origin)
 
--- a/roadpass/switchboard.py
+++ b/roadpass/switchboard.py
@@ -8,7 +8,7 @@
 
 from roadpass import clock
 from roadpass.audit import AuditTrail, Kind
-from roadpass.configuration import Offer, Store
+from roadpass.configuration import RevisionOffer, Store
 from roadpass.detect import Scores
 from roadpass.errors import StreamError
 from roadpass.fleet import Fleet
@@ -19,12 +19,12 @@
 from roadpass.message import Message
 from roadpass.monitor import FleetChanged, HintHeard
 from roadpass.news import PeerPosition
-from roadpass.patch import offer
+from roadpass.patch import build_revision_reply
 from roadpass.peer import Address
 from roadpass.position import Position
 from roadpass.quota_keeper import QuotaTalk
-from roadpass.reader import VersionHeard, choose_readers
-from roadpass.reading_turn import Standing
+from roadpass.reader import VersionAnnounced, choose_readers
+from roadpass.reading_turn import ReaderRank
 from roadpass.revision import Version
 from roadpass.settings import Settings
 from roadpass.sidecar import Sidecar
@@ -56,7 +56,7 @@
         quota_keeper: The actor that speaks of customers.
         store_reader: The actor that reads the source; only with a store.
         readers: VMs of the own data hall that read the platform.
-        standing: Place of this node in the order of those that read the source.
+        reader_rank: Place of this node in the order of those that read the source.
     """
 
     sidecar: Sidecar
@@ -81,7 +81,7 @@
         self._journal = journal
         self._audit = audit
         self.readers: list[str] = []
-        self.standing = Standing()
+        self.reader_rank = ReaderRank()
 
     def on_fleet(self, fleet: Fleet) -> None:
         """Put a fleet in force."""
@@ -127,19 +127,21 @@
         hall = {n.vm for n in nodes if n.alive and n.hall == self._settings.hall and not n.leaving}
         order = choose_readers({*hall, self._settings.vm}, len(hall) + 1)
         self.readers = order[: self._settings.readers_per_hall]
-        self.standing = Standing(order.index(self._settings.vm), len(nodes))
+        self.reader_rank = ReaderRank(order.index(self._settings.vm), len(nodes))
 
     def on_version(self, version: Version, address: Address) -> None:
         """Pull a version that a peer is heard to hold, if it is newer."""
         if self._settings.store is not None:
             return
-        self.puller.tell(VersionHeard(version, address))
+        self.puller.tell(VersionAnnounced(version, address))
 
     def on_behind(self, vm: str, revision: int) -> None:
         """Pull from a node that was seen to hold a newer revision."""
         peer = self._view.nodes.get(vm)
         if peer is not None and self._settings.store is None:
-            self.puller.tell(VersionHeard(Version(revision, ""), (peer.address, peer.stream_port)))
+            self.puller.tell(
+                VersionAnnounced(Version(revision, ""), (peer.address, peer.stream_port))
+            )
 
     def on_hint(self, target: str, scores: Scores) -> None:
         """Hand on another sidecar's word on its target."""
@@ -168,13 +170,13 @@
             StreamError: This node knows nothing of the source yet.
         """
         if message["t"] == "pull":
-            return offer(self._store.held, message["have"])
+            return build_revision_reply(self._store.held, message["have"])
         news = self._journal.since(Position(message.get("era", 0), message["after"]))
         if news is None:
             raise StreamError("Nothing is known of the source yet.")
         return news.to_message(clock.now())
 
-    def on_offer(self, revision: Offer) -> None:
+    def on_offer(self, revision: RevisionOffer) -> None:
         """Hand on a revision that was read or pulled."""
         self.configuration.tell(revision)
 
--- a/roadpass/unusable.py
+++ b/roadpass/unusable.py
@@ -18,17 +18,17 @@
         self._reasons: dict[str, str] = {}
 
     def report(
-        self, changes: Iterable[Change], unusable: Iterable[Unusable], *, whole: bool
+        self, changes: Iterable[Change], unusable: Iterable[Unusable], *, full: bool
     ) -> None:
         """Record each item that was not known to make no sense for this reason.
 
         Args:
             changes: What the source told.
             unusable: Of that, what cannot be used.
-            whole: Whether the source named all it has.
+            full: Whether the source named all it has.
         """
         known = self._reasons
-        if whole:
+        if full:
             self._reasons = {}
         for change in changes:
             match change:
--- a/tests/test_catalogue.py
+++ b/tests/test_catalogue.py
@@ -50,7 +50,7 @@
     """Return a catalogue with one target of each service, and one of a service nobody knows."""
     catalogue = Catalogue(Policy(0.7, 0.2, 10.0))
     entries = (target("t1"), target("t2", service="b"), target("t3", service="unknown"))
-    assert catalogue.take(0.0, Changes(Position(0, 3), (config(5), *entries), whole=True)) == (
+    assert catalogue.take(0.0, Changes(Position(0, 3), (config(5), *entries), full=True)) == (
         True,
         [],
     )
@@ -99,7 +99,7 @@
 ) -> None:
     """About two seconds after its return."""
     held.source_away(10.0)
-    held.take(10.1, Changes(Position(0, 9), (config(5), target("t2", service="b")), whole=True))
+    held.take(10.1, Changes(Position(0, 9), (config(5), target("t2", service="b")), full=True))
     assert not held.expire(10.0 + RETURN_S - 0.1)
     assert held.expire(10.0 + RETURN_S)
     assert "t1" not in held.fleet().targets
@@ -109,7 +109,7 @@
     """Take the first whole reading of a restored source."""
     others = (target("t2", service="b"), target("t3", service="unknown"))
     changes: tuple[Change, ...] = (config(5), *others, *named)
-    held.take(now, Changes(Position(1, revision), changes, whole=True))
+    held.take(now, Changes(Position(1, revision), changes, full=True))
 
 
 @pytest.fixture
@@ -160,7 +160,7 @@
     restore(held, 1.0)
     assert "t1" in held.targets
     changes = (config(5), target("t1"), target("t2", service="b"))
-    held.take(2.0, Changes(Position(2, 3), changes, whole=True))
+    held.take(2.0, Changes(Position(2, 3), changes, full=True))
     held.expire(2.0 + RETURN_S)
     assert "t1" in held.targets
 
@@ -175,7 +175,7 @@
 def test_an_entry_that_is_back_without_a_restoration_is_taken(withdrawn: Catalogue) -> None:
     """It had lapsed; a whole reading in the same era is of now."""
     changes = (config(5), target("t1"), target("t2", service="b"))
-    withdrawn.take(10.0, Changes(Position(0, 9), changes, whole=True))
+    withdrawn.take(10.0, Changes(Position(0, 9), changes, full=True))
     assert "t1" in withdrawn.targets
 
 
@@ -183,7 +183,7 @@
     """The latest are kept."""
     catalogue = Catalogue(Policy())
     entries = tuple(target(f"t{n}") for n in (0, *range(9, WITHDRAWN_KEPT + 9)))
-    catalogue.take(0.0, Changes(Position(0, 3), (config(5), *entries), whole=True))
+    catalogue.take(0.0, Changes(Position(0, 3), (config(5), *entries), full=True))
     gone = tuple(TargetWithdrawn(entry.entry.instance) for entry in entries)
     catalogue.take(1.0, Changes(Position(0, 4), gone))
     catalogue.expire(9.0)
@@ -197,12 +197,12 @@
     assert held.fleet().targets["t1"].leaving
 
 
-@pytest.mark.parametrize("whole", [False, True])
-def test_an_entry_that_makes_no_sense_names_no_target(held: Catalogue, whole: bool) -> None:
+@pytest.mark.parametrize("full", [False, True])
+def test_an_entry_that_makes_no_sense_names_no_target(held: Catalogue, full: bool) -> None:
     """Whoever wrote it: its target goes as if the entry were gone, and the others hold."""
     bad = Unusable("servers/t1", "nonsense", "t1")
     others = (target("t2", service="b"), target("t3", service="unknown"))
-    changed, unusable = held.take(1.0, Changes(Position(0, 4), (bad, *others), whole=whole))
+    changed, unusable = held.take(1.0, Changes(Position(0, 4), (bad, *others), full=full))
     assert (changed, unusable) == (False, [bad])
     assert held.expire(1.0 + WITHDRAWN_KEPT_S)
     assert set(held.targets) == {"t2", "t3"}
@@ -232,10 +232,10 @@
     assert fleet.targets["t1@9"].instance == "t1"
 
 
-@pytest.mark.parametrize("whole", [False, True])
+@pytest.mark.parametrize("full", [False, True])
 @pytest.mark.parametrize("withdrawn", [False, True])
 def test_an_earlier_start_that_is_heard_late_does_not_come_back(
-    held: Catalogue, whole: bool, withdrawn: bool
+    held: Catalogue, full: bool, withdrawn: bool
 ) -> None:
     """From a peer, a stale reading or after a lost history; also once the later one is gone."""
     held.take(1.0, Changes(Position(0, 4), (target("t1", born=9),)))
@@ -244,7 +244,7 @@
         assert held.expire(2.0 + WITHDRAWN_KEPT_S)
     for born in (7, 8):
         old = target("t1", born=born)
-        held.take(4.0, Changes(Position(0, 6), (old, target("t2", service="b")), whole=whole))
+        held.take(4.0, Changes(Position(0, 6), (old, target("t2", service="b")), full=full))
         held.expire(9.0)
         assert set(held.fleet().targets) == ({"t2"} if withdrawn else {"t1@9", "t2"})
 
@@ -266,8 +266,8 @@
     """The latest are kept: what is heard late is heard soon after."""
     catalogue = Catalogue(Policy())
     entries = tuple(target(f"t{n}", born=5) for n in range(BORN_KEPT + 1))
-    catalogue.take(0.0, Changes(Position(0, 3), (config(5), *entries), whole=True))
-    catalogue.take(1.0, Changes(Position(0, 4), (config(6),), whole=True))
+    catalogue.take(0.0, Changes(Position(0, 3), (config(5), *entries), full=True))
+    catalogue.take(1.0, Changes(Position(0, 4), (config(6),), full=True))
     catalogue.expire(9.0)
     late = tuple(target(f"t{n}", born=4) for n in (0, BORN_KEPT))
     catalogue.take(10.0, Changes(Position(0, 5), late))
@@ -281,7 +281,7 @@
         TargetPublished(TargetEntry(f"t{n}", "a", f"10.0.0.{n}:80", "h", 4, leaving=False))
         for n in range(12)
     ]
-    catalogue.take(0.0, Changes(Position(0, 3), (config(5), *entries), whole=True))
+    catalogue.take(0.0, Changes(Position(0, 3), (config(5), *entries), full=True))
     service = catalogue.fleet().services["a"]
     assert service.retry_window_s == 10.0
     in_window = 12 * service.target_repeats
@@ -292,7 +292,7 @@
 def test_the_operators_weight_of_bytes_between_data_halls_holds_for_every_service() -> None:
     """It is a setting of the store's nodes, as prices differ."""
     catalogue = Catalogue(Policy(far_loss_per_kb=0.02))
-    catalogue.take(0.0, Changes(Position(0, 3), (config(5), target("t1")), whole=True))
+    catalogue.take(0.0, Changes(Position(0, 3), (config(5), target("t1")), full=True))
     assert {service.far_loss_per_kb for service in catalogue.fleet().services.values()} == {0.02}
 
 
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -41,11 +41,11 @@
     """From whatever reading on it asks, or from nothing."""
     journal, own, peer = Journal(), Catalogue(Policy()), Catalogue(Policy())
     revision = after = 0
-    for index, (step, changes, whole) in enumerate(told):
+    for index, (step, changes, full) in enumerate(told):
         revision += step
-        named = tuple(c for c in changes if isinstance(c, TargetPublished)) if whole else changes
-        reading = Changes(Position(0, revision), named, whole=whole)
-        journal.note(reading, 0.0)
+        named = tuple(c for c in changes if isinstance(c, TargetPublished)) if full else changes
+        reading = Changes(Position(0, revision), named, full=full)
+        journal.record(reading, 0.0)
         own.take(0.0, reading)
         if index < known:
             peer.take(0.0, reading)
@@ -66,49 +66,49 @@
     """The readings that are kept are bounded."""
     journal = Journal()
     for revision in range(1, KEPT + 3):
-        journal.note(Changes(Position(0, revision), (published(str(revision)),)), 0.0)
+        journal.record(Changes(Position(0, revision), (published(str(revision)),)), 0.0)
     news = journal.since(Position(0, 1))
     assert news is not None
-    assert news.changes.whole
+    assert news.changes.full
     assert len(news.changes.changes) == KEPT + 2
     later = journal.since(Position(0, KEPT))
     assert later is not None
-    assert not later.changes.whole
+    assert not later.changes.full
     assert len(later.changes.changes) == 2
 
 
 def test_who_asks_from_an_earlier_era_is_told_all() -> None:
     """Also from a revision that was given out again."""
     journal = Journal()
-    journal.note(Changes(Position(1, 3), (published("a"),), whole=True), 0.0)
-    journal.note(Changes(Position(1, 9), (published("b"),)), 0.0)
-    journal.note(Changes(Position(2, 5), (published("c"),), whole=True), 0.0)
-    journal.note(Changes(Position(2, 6), (published("d"),)), 0.0)
+    journal.record(Changes(Position(1, 3), (published("a"),), full=True), 0.0)
+    journal.record(Changes(Position(1, 9), (published("b"),)), 0.0)
+    journal.record(Changes(Position(2, 5), (published("c"),), full=True), 0.0)
+    journal.record(Changes(Position(2, 6), (published("d"),)), 0.0)
     for after in (Position(1, 9), Position(1, 5), Position(0, 100)):
         news = journal.since(after)
         assert news is not None
-        expected = Changes(Position(2, 6), (published("c"), published("d")), whole=True)
+        expected = Changes(Position(2, 6), (published("c"), published("d")), full=True)
         assert news.changes == expected
 
 
-@pytest.mark.parametrize("whole", [False, True])
-def test_peers_are_told_nothing_of_what_could_not_be_read(whole: bool) -> None:
+@pytest.mark.parametrize("full", [False, True])
+def test_peers_are_told_nothing_of_what_could_not_be_read(full: bool) -> None:
     """Neither as it was before, nor as it is now; what else there is they are told."""
     journal = Journal()
-    journal.note(Changes(Position(0, 1), (published("a"), published("b")), whole=True), 0.0)
+    journal.record(Changes(Position(0, 1), (published("a"), published("b")), full=True), 0.0)
     bad = Unusable("servers/a", "noise", "a")
-    journal.note(Changes(Position(0, 2), (bad, published("b")), whole=whole), 0.0)
+    journal.record(Changes(Position(0, 2), (bad, published("b")), full=full), 0.0)
     news = journal.since(Position(0, 0))
     assert news is not None
-    assert news.changes.whole
+    assert news.changes.full
     assert news.changes.changes == (published("b"),)
 
 
 def test_a_peer_hears_that_an_entry_makes_no_sense_any_more() -> None:
     """As a withdrawal: it held the target by the earlier entry."""
     journal = Journal()
-    journal.note(Changes(Position(0, 1), (published("a"),), whole=True), 0.0)
-    journal.note(Changes(Position(0, 2), (Unusable("servers/a", "noise", "a"),)), 0.0)
+    journal.record(Changes(Position(0, 1), (published("a"),), full=True), 0.0)
+    journal.record(Changes(Position(0, 2), (Unusable("servers/a", "noise", "a"),)), 0.0)
     news = journal.since(Position(0, 1))
     assert news is not None
     assert news.to_message(0.0)["withdrawn"] == ["a"]
@@ -117,7 +117,7 @@
 def test_the_age_is_the_latest_moment_without_news() -> None:
     """Words that come late do not make it older; an outage is told with it."""
     journal = Journal()
-    journal.note(Changes(Position(0, 1), (), whole=True), 5.0)
+    journal.record(Changes(Position(0, 1), (), full=True), 5.0)
     journal.confirm(9.0)
     journal.confirm(7.0)
     journal.source_away(6.0)
--- a/tests/test_key_shown_nowhere.py
+++ b/tests/test_key_shown_nowhere.py
@@ -96,8 +96,8 @@
 def test_no_message_between_nodes_holds_a_key() -> None:
     """Neither the news of a configuration nor what is told of a customer's requests."""
     journal = Journal()
-    journal.note(
-        Changes(Position(0, 3), (ConfigPublished(decode.config(published(3, KEY))),), whole=True),
+    journal.record(
+        Changes(Position(0, 3), (ConfigPublished(decode.config(published(3, KEY))),), full=True),
         1.0,
     )
     news = journal.since(START)
--- a/tests/test_monotonic.py
+++ b/tests/test_monotonic.py
@@ -51,7 +51,7 @@
     left: set[str] = set()
     for reading in told:
         taken = reads.apply(reading)
-        assert (taken.position, taken.whole) == (reading.position, reading.whole)
+        assert (taken.position, taken.full) == (reading.position, reading.full)
         for change in taken.changes:
             match change:
                 case ConfigPublished(config=config):
@@ -75,7 +75,7 @@
         ready = {entry.name for entry in entries if not entry.leaving}
         left |= {entry.name for entry in entries if entry.leaving}
         expected: tuple[Change, ...] = reading.changes
-        if reading.whole and not configs and version:
+        if reading.full and not configs and version:
             expected = (*expected, config(version))
         if rises and not ready & left:
             assert reads.apply(reading).changes == expected
@@ -88,7 +88,7 @@
     """The backup may be older than the first one; who asks this node gets what it holds."""
     reads = MonotonicReads()
     reads.apply(Changes(Position(0, 3), (config(7),)))
-    assert reads.apply(Changes(Position(1, 1), (), whole=True)).changes == (config(7),)
+    assert reads.apply(Changes(Position(1, 1), (), full=True)).changes == (config(7),)
     assert reads.apply(Changes(Position(1, 2), ())).changes == ()
 
 
--- a/tests/test_news.py
+++ b/tests/test_news.py
@@ -67,7 +67,7 @@
 
 @given(configs, st.lists(entries, max_size=3), st.lists(names, max_size=2), st.booleans())
 def test_news_survive_their_written_form(
-    config: PublishedConfig, targets: list[TargetEntry], withdrawn: list[str], whole: bool
+    config: PublishedConfig, targets: list[TargetEntry], withdrawn: list[str], full: bool
 ) -> None:
     """Every field, and the ages."""
     changes: tuple[Change, ...] = (
@@ -75,14 +75,14 @@
         *map(TargetPublished, targets),
         *map(TargetWithdrawn, withdrawn),
     )
-    news = News(Changes(Position(2, 7), changes, whole=whole), 90.0, 80.0)
+    news = News(Changes(Position(2, 7), changes, full=full), 90.0, 80.0)
     written = unpack(pack(news.to_message(100.0)))
     assert News.from_message(check(written), 100.0) == news
 
 
 def test_a_node_of_an_earlier_release_is_understood() -> None:
     """It sends no era and reads none; what it holds is of the first era."""
-    message = News(Changes(Position(0, 7), (), whole=True), 90.0).to_message(100.0)
+    message = News(Changes(Position(0, 7), (), full=True), 90.0).to_message(100.0)
     assert "era" not in message
     assert News.from_message(check(unpack(pack(message))), 100.0).changes.position == Position(0, 7)
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -106,7 +106,7 @@
     for number in range(2, 9):
         bench.state.put(f"servers/i-{number}", entry("10.0.0.1:80"))
     got = bench.client.snapshot()
-    assert got.whole
+    assert got.full
     assert got.position == Position(0, 9)
     assert isinstance(got.changes[0], ConfigPublished)
     assert sum(isinstance(change, TargetPublished) for change in got.changes) == 8
@@ -118,7 +118,7 @@
     assert bench.client.watch(Position(0, 2), 0.05).changes == ()
     bench.state.delete("servers/i-1")
     got = bench.client.watch(Position(0, 2), 5.0)
-    assert (got.position, got.changes, got.whole) == (
+    assert (got.position, got.changes, got.full) == (
         Position(0, 3),
         (TargetWithdrawn("i-1"),),
         False,
--- a/tests/test_platform_reader.py
+++ b/tests/test_platform_reader.py
@@ -18,7 +18,7 @@
 from roadpass.news import News, PeerPosition
 from roadpass.peer import Address
 from roadpass.position import START, Position
-from roadpass.reading_turn import PATIENCE, Standing
+from roadpass.reading_turn import PATIENCE, ReaderRank
 from roadpass.source import PublishedConfig
 from roadpass.store_reader import StoreEvents, StoreReader
 from stand_ins.store import config, entry
@@ -26,7 +26,7 @@
 
 LIMIT_S = 5.0
 BOUND_S = 2.0
-ALONE = Standing()
+ALONE = ReaderRank()
 
 
 @pytest.fixture
@@ -76,7 +76,7 @@
     followed: Followed,
     audit: AuditTrail,
     *,
-    standing: Standing = ALONE,
+    reader_rank: ReaderRank = ALONE,
     ask: Callable[[Address, Position], News] = nobody,
     confirmed: list[tuple[Position, bool]] | None = None,
 ) -> ActorRef[StoreReader]:
@@ -86,8 +86,8 @@
         on_fleet=followed.on_fleet,
         on_peers=lambda entries: None,
         on_confirmed=lambda position, at, own: told.append((position, own)),
-        ask=ask,
-        standing=lambda: standing,
+        fetch_update=ask,
+        reader_rank=lambda: reader_rank,
     )
     catalogue = Catalogue(Policy())
     return StoreReader.start(
@@ -244,8 +244,8 @@
         asked.append(after)
         return News(bench.client.snapshot(), clock.now())
 
-    second = Standing(place=1, peers=2)
-    ref = start_reader(bench, followed, AuditTrail(), standing=second, ask=ask)
+    second = ReaderRank(place=1, peers=2)
+    ref = start_reader(bench, followed, AuditTrail(), reader_rank=second, ask=ask)
     try:
         followed.wait_for_calls(bench, 1)
         calls_before = bench.state.calls
@@ -269,8 +269,8 @@
     """Whoever was cut off or frozen: what the store took is in force within the bound."""
     followed = Followed()
     confirmed: list[tuple[Position, bool]] = []
-    standing = Standing(place=place, peers=20)
-    ref = start_reader(bench, followed, AuditTrail(), standing=standing, confirmed=confirmed)
+    reader_rank = ReaderRank(place=place, peers=20)
+    ref = start_reader(bench, followed, AuditTrail(), reader_rank=reader_rank, confirmed=confirmed)
     try:
         followed.wait_for(lambda fleet: fleet.revision == 4)
         for version in (7, 9):
--- a/tests/test_reader.py
+++ b/tests/test_reader.py
@@ -11,13 +11,13 @@
 
 from roadpass import clock, reader
 from roadpass.audit import AuditTrail, Kind
-from roadpass.configuration import Offer, Store
+from roadpass.configuration import RevisionOffer, Store
 from roadpass.errors import DocumentError, PlatformError, StreamError
 from roadpass.manifest import Platform
 from roadpass.message import Message
 from roadpass.metric import Metrics
 from roadpass.peer import Address, PeerPool
-from roadpass.reader import Puller, Reader, ReaderEvents, Status, VersionHeard, choose_readers
+from roadpass.reader import Puller, Reader, ReaderEvents, Status, VersionAnnounced, choose_readers
 from roadpass.revision import Manifest, Version
 from roadpass.settings import Settings
 
@@ -111,13 +111,13 @@
     """Many words of peers that are cut off cost one try each, not one a word."""
     cut = [("127.0.0.1", port) for port in (1, 2)]
     peers = CutOffPeers(("127.0.0.1", 3))
-    offered: list[Offer] = []
+    offered: list[RevisionOffer] = []
     ref = Puller.start(peers, Store(), offered.append, Metrics())
     version = Version(7, "x")
     for _ in range(20):
         for address in cut:
-            ref.tell(VersionHeard(version, address))
-    ref.tell(VersionHeard(version, peers.reachable))
+            ref.tell(VersionAnnounced(version, address))
+    ref.tell(VersionAnnounced(version, peers.reachable))
     deadline = clock.now() + 20.0 * CUT_S
     while not offered and clock.now() < deadline:
         time.sleep(0.01)
--- a/tests/test_reading_turn.py
+++ b/tests/test_reading_turn.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from roadpass.reading_turn import MIN_WAIT_S, ReadingTurn, Standing
+from roadpass.reading_turn import MIN_WAIT_S, ReaderRank, ReadingTurn
 
 BOUND_S = 2.0
 CALL_S = 0.25
@@ -17,13 +17,13 @@
 def test_everybody_reads_well_within_the_bound(place: int, chance: float) -> None:
     """Also the last, with a call's time to spare."""
     turn = ReadingTurn(BOUND_S, chance)
-    assert turn.patience_s(Standing(place, 500)) + CALL_S <= BOUND_S
+    assert turn.patience_s(ReaderRank(place, 500)) + CALL_S <= BOUND_S
 
 
 def test_one_reads_after_the_other() -> None:
     """A call and its word fit between the turns of the first ones."""
     turn = ReadingTurn(BOUND_S, 0.5)
-    patience = [turn.patience_s(Standing(place, 20)) for place in range(6)]
+    patience = [turn.patience_s(ReaderRank(place, 20)) for place in range(6)]
     assert patience[0] == 0.0
     assert all(later - sooner >= 0.05 for sooner, later in pairwise(patience))
 
@@ -31,7 +31,7 @@
 def test_the_second_waits_longer_than_the_first_takes_for_a_word() -> None:
     """Otherwise two would read where one is enough."""
     turn = ReadingTurn(BOUND_S, 0.5)
-    assert turn.patience_s(Standing(1, 20)) > turn.wait_s(0.0) + turn.rest_s / 2
+    assert turn.patience_s(ReaderRank(1, 20)) > turn.wait_s(0.0) + turn.rest_s / 2
 
 
 def test_the_staler_the_word_the_shorter_the_reading() -> None:
@@ -69,7 +69,7 @@
             if place in reading and now >= reading[place]:
                 del reading[place]
                 confirmed = [now] * members
-            elif place not in reading and turns[place].is_due(Standing(place, 11), age):
+            elif place not in reading and turns[place].is_due(ReaderRank(place, 11), age):
                 calls += 1
                 reading[place] = now + turns[place].wait_s(age)
     return calls, oldest
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -18,7 +18,7 @@
 from roadpass.news import News, PeerPosition
 from roadpass.peer import Address
 from roadpass.platform.store import StoreClient
-from roadpass.reading_turn import Standing
+from roadpass.reading_turn import ReaderRank
 from roadpass.source import PublishedConfig, TargetEntry
 from roadpass.store_reader import StoreEvents, StoreReader
 from stand_ins.store import StoreState, config, entry, store_server
@@ -51,8 +51,8 @@
             on_fleet=self._on_fleet,
             on_peers=self._on_peers,
             on_confirmed=self._on_confirmed,
-            ask=self._ask,
-            standing=lambda: Standing(self._place, NODES - 1),
+            fetch_update=self._ask,
+            reader_rank=lambda: ReaderRank(self._place, NODES - 1),
         )
         self.reader: ActorRef[StoreReader] = StoreReader.start(
             StoreClient(store, Metrics()),
--- a/tests/test_revision.py
+++ b/tests/test_revision.py
@@ -8,11 +8,11 @@
 from hypothesis import strategies as st
 
 from roadpass.audit import AuditTrail, Kind
-from roadpass.configuration import Configuration, Offer, Store
+from roadpass.configuration import Configuration, RevisionOffer, Store
 from roadpass.errors import DocumentError
 from roadpass.fleet import Fleet
 from roadpass.message import Message
-from roadpass.patch import apply_patch, make_patch, offer, receive
+from roadpass.patch import apply_patch, build_revision_reply, make_patch, read_revision_reply
 from roadpass.revision import DocumentEntry, Held, Manifest
 
 
@@ -49,7 +49,7 @@
         content = BAD if mark == "bad" else document(mark=mark)
         before = store.held.version
         documents = (content,) if complete else ()
-        actor.handle(Offer(manifest(revision, content), documents, "test"))
+        actor.handle(RevisionOffer(manifest(revision, content), documents, "test"))
         assert store.held.version >= before
     assert [fleet.revision for fleet in seen] == sorted(fleet.revision for fleet in seen)
     assert seen[-1].revision == 7
@@ -61,7 +61,7 @@
     actor = Configuration(store, trail, lambda fleet: None)
     content = document()
     for documents in ((), (content + b" ",), (content,)):
-        actor.handle(Offer(manifest(3, content), documents, "test"))
+        actor.handle(RevisionOffer(manifest(3, content), documents, "test"))
     assert store.held.version.revision == 3
     refused = [event for event in trail.since() if event.kind is Kind.REVISION_REFUSED]
     assert len(refused) == 1
@@ -74,7 +74,7 @@
     actor = Configuration(store, trail, lambda fleet: None)
     contents = {mark: document(mark=mark) for mark in order}
     for mark in order:
-        actor.handle(Offer(manifest(5, contents[mark]), (contents[mark],), "test"))
+        actor.handle(RevisionOffer(manifest(5, contents[mark]), (contents[mark],), "test"))
     winner = max(manifest(5, content).version for content in contents.values())
     assert store.held.version == winner
     assert any(event.kind is Kind.REVISION_CONFLICT for event in trail.since())
@@ -96,9 +96,9 @@
     peer, _ = Held.nothing().advance(manifest(1, old), [old])
     server, _ = peer.advance(manifest(2, new), [new])
     have = {e.name: e.hash for e in peer.manifest.documents} if peer.manifest else {}
-    message: Message = offer(server, have)
+    message: Message = build_revision_reply(server, have)
     assert len(message["documents"][0]["data"]) < len(new) / 50
-    got, contents = receive(peer, message)
+    got, contents = read_revision_reply(peer, message)
     held, fleet = peer.advance(got, contents)
     assert held.version == server.version
     assert isinstance(fleet, Fleet)
@@ -106,7 +106,7 @@
 
 @given(st.binary(max_size=200), st.binary(max_size=200), st.integers(0, 300))
 def test_broken_patch_is_a_clear_error_or_the_content(old: bytes, new: bytes, at: int) -> None:
-    """A flipped byte never gives other content unnoticed by the hash check of `receive`."""
+    """The hash check in `read_revision_reply` lets no wrong content pass after a flipped byte."""
     patch = bytearray(make_patch(old, new))
     assert apply_patch(old, bytes(patch)) == new
     patch[at % len(patch)] ^= 0x40
@@ -118,7 +118,7 @@
         ],
     }
     try:
-        _, contents = receive(Held.nothing(), message)
+        _, contents = read_revision_reply(Held.nothing(), message)
     except DocumentError:
         return
     assert contents == [new]
--- a/tests/test_store_reader.py
+++ b/tests/test_store_reader.py
@@ -29,7 +29,7 @@
 from roadpass.news import ASK_S, News, PeerPosition
 from roadpass.peer import Address
 from roadpass.position import START, Position
-from roadpass.reading_turn import Standing
+from roadpass.reading_turn import ReaderRank
 from roadpass.source import Changes, ConfigPublished, HistoryLostError, PublishedConfig
 from roadpass.store_reader import StoreEvents, StoreReader
 
@@ -78,13 +78,13 @@
 
     def snapshot(self) -> Changes:
         """Return the newest version."""
-        return self._answer(0, 0.0, whole=True)
+        return self._answer(0, 0.0, full=True)
 
     def watch(self, after: Position, wait_s: float) -> Changes:
         """Wait for a newer version."""
         return self._answer(after.revision, wait_s)
 
-    def _answer(self, after: int, wait_s: float, *, whole: bool = False) -> Changes:
+    def _answer(self, after: int, wait_s: float, *, full: bool = False) -> Changes:
         self.calls += 1
         if self.away:
             time.sleep(self.silence_s)
@@ -95,7 +95,7 @@
         with self.changed:
             self.changed.wait_for(lambda: self.version > after, wait_s)
             found = [ConfigPublished(config(self.version))] if self.version > after else []
-            return Changes(Position(0, self.version), tuple(found), whole=whole)
+            return Changes(Position(0, self.version), tuple(found), full=full)
 
 
 class Reading:
@@ -118,8 +118,8 @@
             on_fleet=self._on_fleet,
             on_peers=lambda entries: None,
             on_confirmed=lambda revision, at, own: None,
-            ask=self._note_question,
-            standing=lambda: Standing(place, len(PEERS)),
+            fetch_update=self._note_question,
+            reader_rank=lambda: ReaderRank(place, len(PEERS)),
         )
         self._ref: ActorRef[StoreReader] = StoreReader.start(
             source,
@@ -234,7 +234,7 @@
     """One of eight is enough for a node to which the source is away."""
 
     def ask(address: Address, _: Position) -> News:
-        return whole(source.version) if address[0] == PEERS[-1] else cut_off(address, START)
+        return full_update(source.version) if address[0] == PEERS[-1] else cut_off(address, START)
 
     source = SourceInMemory()
     reading = started(source, place=1, ask=ask)
@@ -271,10 +271,10 @@
     assert 1 <= len(reading.asked) <= 3
 
 
-def whole(version: int) -> News:
+def full_update(version: int) -> News:
     """Return what a peer tells that holds a version."""
     found = ConfigPublished(config(version))
-    return News(Changes(Position(0, version), (found,), whole=True), clock.now())
+    return News(Changes(Position(0, version), (found,), full=True), clock.now())
 
 
 @pytest.mark.parametrize("place", [0, 1])
@@ -283,7 +283,7 @@
 ) -> None:
     """Whoever waits for the source hears, asks and puts in force what peers tell meanwhile."""
     source = SourceInMemory()
-    reading = started(source, place=place, ask=lambda _, __: whole(source.version))
+    reading = started(source, place=place, ask=lambda _, __: full_update(source.version))
     reading.wait_for(1, LIMIT_S)
     reading.hear(PEERS)
     source.away, source.silence_s = True, 2.0
@@ -298,7 +298,7 @@
     """The call went out from an older revision; the newer one is gone on from."""
     caplog.set_level(logging.INFO, "roadpass.reader")
     source = SourceInMemory()
-    reading = started(source, place=0, ask=lambda _, __: whole(source.version))
+    reading = started(source, place=0, ask=lambda _, __: full_update(source.version))
     reading.wait_for(1, LIMIT_S)
     source.lost, source.silence_s = [1], 1.5
     time.sleep(1.0)
@@ -323,7 +323,7 @@
     def ask(_: Address, __: Position) -> News:
         if unforeseen:
             raise unforeseen.pop()
-        return whole(source.version)
+        return full_update(source.version)
 
     def watch(_: Position, __: float) -> Changes:
         if unforeseen:
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -57,7 +57,7 @@
     Mechanism(
         "a withdrawn entry that a backup brings back is held",
         "roadpass/catalogue.py",
-        "if not self._revived.hold(now, entry, restored=restored, whole=changes.whole):",
+        "if not self._revived.hold(now, entry, restored=restored, full=changes.full):",
         "if True:",
         "tests/test_restored_store.py",
     ),
