--- a/roadpass/catalogue.py
+++ b/roadpass/catalogue.py
@@ -10,27 +10,27 @@
 
 from roadpass.fleet import Fleet, Judgement, Service, Target, TrafficClass, joined_class
 from roadpass.offer import FAR_LOSS_PER_KB
-from roadpass.revived import RevivedEntries
+from roadpass.revived import RestoredEntries
 from roadpass.settings import StoreSettings
 from roadpass.source import (
     Changes,
     ConfigPublished,
+    InvalidItem,
     PublishedConfig,
     PublishedService,
     TargetEntry,
     TargetPublished,
     TargetWithdrawn,
-    Unusable,
 )
 
-WITHDRAWN_KEPT_S = 0.7
+WITHDRAWN_GRACE_S = 0.7
 """Seconds that a withdrawn target is still sent to; it must not be after 2 s."""
-WITHDRAWN_MAX_S = 1.6
+MAX_WITHDRAWN_AGE_S = 1.6
 """The same from the moment on at which its entry is known to have been there still."""
-RETURN_S = 2.5
+REPUBLISH_GRACE_S = 2.5
 """Seconds from a failed call on in which withdrawn targets are kept: entries that lapsed while the
 source was away are back about 2 s after its return."""
-DETECTION_DIAL = 0.1
+FALSE_EJECTIONS_PER_TARGET_WEEK = 0.1
 """False ejections accepted a target and week."""
 ATTEMPT_TIMEOUT_MS = 60_000
 """Milliseconds; no bound of its own on one attempt: the request's time bounds it."""
@@ -44,7 +44,7 @@
 JUDGEMENT = Judgement(slow_margin=6.0, trial_weight=0.15, trial_successes=3)
 """Targets run at different speeds and their requests at different lengths, so only six times the
 others' is slow; an ingress sends a target about one request in two seconds, so a trial is short."""
-BORN_KEPT = 10_000
+MAX_REMEMBERED_STARTS = 10_000
 """Ids of which the newest start is remembered, also after their entries are gone: word of an
 earlier start may come late, from a peer or an old reading. About 0.1 KB each."""
 SLOW_START_S = 2.0
@@ -86,9 +86,9 @@
         self._config: PublishedConfig | None = None
         self._targets: dict[str, TargetEntry] = {}
         self._withdrawn: dict[str, float] = {}
-        self._newest_born: dict[str, int] = {}
-        self._away_until = float("-inf")
-        self._revived = RevivedEntries()
+        self._newest_starts: dict[str, int] = {}
+        self._unavailable_until = float("-inf")
+        self._restored = RestoredEntries()
         self._era: int | None = None
 
     @property
@@ -101,49 +101,49 @@
         """Targets by instance, those included whose entry was withdrawn a moment ago."""
         return self._targets
 
-    def adopt(self, policy: Policy) -> None:
+    def set_policy(self, policy: Policy) -> None:
         """Put another policy in force for the fleets that are built from now on."""
         self._policy = policy
 
-    def source_away(self, now: float) -> None:
+    def mark_source_unavailable(self, now: float) -> None:
         """Note that the source could not be read: withdrawals may be lapses."""
-        self._away_until = max(self._away_until, now)
+        self._unavailable_until = max(self._unavailable_until, now)
 
-    def take(
-        self, now: float, changes: Changes, *, known_at: float = math.inf
-    ) -> tuple[bool, list[Unusable]]:
+    def apply(
+        self, now: float, changes: Changes, *, confirmed_at: float = math.inf
+    ) -> tuple[bool, list[InvalidItem]]:
         """Take in what a source tells.
 
         Args:
             now: Clock seconds.
             changes: What it told.
-            known_at: When the source had nothing newer than what was held before, in monotonic
+            confirmed_at: When the source had nothing newer than what was held before, in monotonic
                 seconds: what it withdraws now may be gone since then.
 
         Returns:
             Whether the fleet is another one now, and what could not be used.
         """
         changed = False
-        unusable: list[Unusable] = []
+        invalid: list[InvalidItem] = []
         restored = self._era is not None and changes.position.era > self._era
         self._era = changes.position.era
         if restored:  # targets that the backup lacks write themselves again, as after an outage
-            self.source_away(now)
+            self.mark_source_unavailable(now)
         for change in changes.changes:
             match change:
                 case ConfigPublished(config=config):
-                    changed |= self._take_config(config)
+                    changed |= self._apply_config(config)
                 case TargetPublished(entry=entry):
-                    if not self._revived.hold(now, entry, restored=restored, full=changes.full):
-                        changed |= self._take_target(entry)
+                    if not self._restored.hold(now, entry, restored=restored, full=changes.full):
+                        changed |= self._apply_target(entry)
                 case TargetWithdrawn(instance=instance):
-                    self._withdraw(now, known_at, instance)
-                case Unusable(instance=instance):
-                    unusable.append(change)
-                    self._withdraw(now, known_at, instance)
+                    self._withdraw(now, confirmed_at, instance)
+                case InvalidItem(instance=instance):
+                    invalid.append(change)
+                    self._withdraw(now, confirmed_at, instance)
         if changes.full:
-            self._withdraw_missing(now, known_at, changes, ended=not restored)
-        return changed, unusable
+            self._withdraw_missing(now, confirmed_at, changes, ended=not restored)
+        return changed, invalid
 
     def expire(self, now: float) -> bool:
         """Drop withdrawn targets whose time is over, and take those that a backup rightly named.
@@ -151,17 +151,17 @@
         Returns:
             Whether there was any.
         """
-        over = [name for name, until in self._withdrawn.items() if until <= now]
-        for name in over:
+        expired = [name for name, until in self._withdrawn.items() if until <= now]
+        for name in expired:
             del self._withdrawn[name]
             self._targets.pop(name, None)
-        taken = [self._take_target(entry) for entry in self._revived.release(now)]
-        return bool(over) or any(taken)
+        taken = [self._apply_target(entry) for entry in self._restored.release(now)]
+        return bool(expired) or any(taken)
 
     def next_expiry_s(self, now: float) -> float:
         """Return the seconds until `expire` has something to do, infinite if nothing waits."""
         until = min(self._withdrawn.values(), default=math.inf)
-        return max(0.0, min(until, self._revived.next_release()) - now)
+        return max(0.0, min(until, self._restored.next_release_at()) - now)
 
     def fleet(self) -> Fleet:
         """Return the fleet that is in force by all that is held."""
@@ -169,55 +169,57 @@
             return Fleet.empty()
         return build_fleet(self._config, self._targets.values(), self._policy)
 
-    def _take_config(self, config: PublishedConfig) -> bool:
+    def _apply_config(self, config: PublishedConfig) -> bool:
         if self._config is not None and config.version <= self._config.version:
             return False
         self._config = config
         return True
 
-    def _take_target(self, entry: TargetEntry) -> bool:
+    def _apply_target(self, entry: TargetEntry) -> bool:
         known = self._targets.get(entry.instance)
         if not entry.born and known is not None:  # it says nothing against being the same start
             entry = entry._replace(born=known.born)
-        if 0 < entry.born < self._newest_born.get(entry.instance, 0):
+        if 0 < entry.born < self._newest_starts.get(entry.instance, 0):
             return False
         if entry.born:
-            self._note_born(entry)
+            self._remember_start(entry)
         self._withdrawn.pop(entry.instance, None)
         if known == entry:
             return False
         self._targets[entry.instance] = entry
         return True
 
-    def _note_born(self, entry: TargetEntry) -> None:
+    def _remember_start(self, entry: TargetEntry) -> None:
         """Remember the newest start under an id, the latest seen last."""
-        self._newest_born.pop(entry.instance, None)
-        self._newest_born[entry.instance] = entry.born
-        if len(self._newest_born) > BORN_KEPT:
-            del self._newest_born[next(iter(self._newest_born))]
+        self._newest_starts.pop(entry.instance, None)
+        self._newest_starts[entry.instance] = entry.born
+        if len(self._newest_starts) > MAX_REMEMBERED_STARTS:
+            del self._newest_starts[next(iter(self._newest_starts))]
 
-    def _withdraw(self, now: float, known_at: float, instance: str, *, ended: bool = True) -> None:
+    def _withdraw(
+        self, now: float, confirmed_at: float, instance: str, *, ended: bool = True
+    ) -> None:
         """Let a target go whose entry is gone, as it has `ended` or as a backup lacks it."""
-        self._revived.discard(instance)
+        self._restored.discard(instance)
         if instance in self._targets and instance not in self._withdrawn:
-            kept_until = min(now + WITHDRAWN_KEPT_S, known_at + WITHDRAWN_MAX_S)
-            kept_until = max(kept_until, self._away_until + RETURN_S)
+            kept_until = min(now + WITHDRAWN_GRACE_S, confirmed_at + MAX_WITHDRAWN_AGE_S)
+            kept_until = max(kept_until, self._unavailable_until + REPUBLISH_GRACE_S)
             self._withdrawn[instance] = kept_until
             if ended:
-                self._revived.note_withdrawn(self._targets[instance])
+                self._restored.remember_withdrawn(self._targets[instance])
 
     def _withdraw_missing(
-        self, now: float, known_at: float, changes: Changes, *, ended: bool
+        self, now: float, confirmed_at: float, changes: Changes, *, ended: bool
     ) -> None:
         named = {
             change.entry.instance
             for change in changes.changes
             if isinstance(change, TargetPublished)
         }
-        self._revived.discard_others(named)
+        self._restored.discard_others(named)
         for instance in self._targets:
             if instance not in named:
-                self._withdraw(now, known_at, instance, ended=ended)
+                self._withdraw(now, confirmed_at, instance, ended=ended)
 
 
 def build_fleet(config: PublishedConfig, entries: Iterable[TargetEntry], policy: Policy) -> Fleet:
@@ -293,7 +295,7 @@
         target_repeats=max(1.0, target_slack),
         retry_window_s=policy.retry_window_s,
         floor_slots=math.ceil(slots * policy.floor_share),
-        false_ejections_per_target_week=DETECTION_DIAL,
+        false_ejections_per_target_week=FALSE_EJECTIONS_PER_TARGET_WEEK,
         timeout_ms=ATTEMPT_TIMEOUT_MS,
         attempt_timeout_ms=ATTEMPT_TIMEOUT_MS,
         queue_limit=QUEUE_LIMIT,
--- a/roadpass/configuration.py
+++ b/roadpass/configuration.py
@@ -8,7 +8,7 @@
 from roadpass.audit import AuditTrail, Kind
 from roadpass.errors import DocumentError, IncompleteError
 from roadpass.fleet import Fleet
-from roadpass.revision import NO_VERSION, Held, Manifest, Order, Version, compare
+from roadpass.revision import NO_VERSION, HeldRevision, Manifest, Order, Version, compare
 
 MAX_REFUSED = 64
 
@@ -27,7 +27,7 @@
     """What this node holds of the configuration; written by the actor, read by any thread."""
 
     def __init__(self) -> None:
-        self.held = Held.nothing()
+        self.held = HeldRevision.empty()
         self.refused: dict[Version, str] = {}
 
     def is_refused(self, version: Version) -> bool:
@@ -68,7 +68,7 @@
                 self._refuse(version, offer.source, "is older than the one in force")
                 return
             case Order.CONFLICT_LOSES:
-                self._lose(version)
+                self._reject_conflict(version)
                 return
             case Order.CONFLICT_WINS:
                 self._report_conflict(version, "the other content goes into force")
@@ -93,14 +93,14 @@
         )
 
     def _refuse(self, version: Version, source: str, why: str) -> None:
-        if self._remember(version, why):
+        if self._mark_refused(version, why):
             self._audit.record(Kind.REVISION_REFUSED, _name(version), f"from {source}: {why}")
 
-    def _lose(self, version: Version) -> None:
-        if self._remember(version, "lost against another content of the same number"):
+    def _reject_conflict(self, version: Version) -> None:
+        if self._mark_refused(version, "lost against another content of the same number"):
             self._report_conflict(version, "kept the one in force")
 
-    def _remember(self, version: Version, why: str) -> bool:
+    def _mark_refused(self, version: Version, why: str) -> bool:
         """Note that a version is never to be taken.
 
         Returns:
--- a/roadpass/fleet.py
+++ b/roadpass/fleet.py
@@ -19,9 +19,9 @@
 from roadpass.selector import Labelled, Selector, known_zone, select
 
 DEFAULT_CLASS = "default"
-_NAMED = ("services", "targets", "routes", "customers")
+_NAMED_SECTIONS = ("services", "targets", "routes", "customers")
 """Parts of a document that are merged by name."""
-SECONDS_A_MINUTE = 60
+SECONDS_PER_MINUTE = 60
 
 
 class TrafficClass(NamedTuple):
@@ -200,7 +200,10 @@
         Raises:
             DocumentError: With every problem found.
         """
-        merged: dict[str, Any] = {name: {} for name in _NAMED} | {"selectors": [], "salts": set()}
+        merged: dict[str, Any] = {name: {} for name in _NAMED_SECTIONS} | {
+            "selectors": [],
+            "salts": set(),
+        }
         problems: list[str] = []
         for name, text in texts:
             value, errors = jsonc.parse(text)
@@ -247,16 +250,16 @@
             service: Which of the route's services is meant, empty for its only or first one.
             now: Seconds since the epoch; the result holds for the whole minute.
         """
-        minute = int(now // SECONDS_A_MINUTE)
+        minute = int(now // SECONDS_PER_MINUTE)
         name = service or route.service
         found = self._groups.get((route.name, name, minute))
         if found is not None:
             return found
-        instant = datetime.fromtimestamp(minute * SECONDS_A_MINUTE, UTC)
+        instant = datetime.fromtimestamp(minute * SECONDS_PER_MINUTE, UTC)
         labelled = (Labelled(t.name, _effective_labels(t)) for t in self.targets_of(name))
         groups = select(self.selectors, name, route.labels, labelled, instant)
         with self._lock:
-            self._forget_other_minutes(minute)
+            self._evict_other_minutes(minute)
             self._groups[(route.name, name, minute)] = groups
         return groups
 
@@ -270,7 +273,7 @@
             return False
         return any(target_name in group for group in self.groups(route, now, target.service))
 
-    def _forget_other_minutes(self, minute: int) -> None:
+    def _evict_other_minutes(self, minute: int) -> None:
         if any(key[2] != minute for key in self._groups):
             self._groups = {key: v for key, v in self._groups.items() if key[2] == minute}
 
@@ -291,7 +294,7 @@
 
 def _merge(merged: dict[str, Any], name: str, value: Any) -> list[str]:
     problems = []
-    for part in _NAMED:
+    for part in _NAMED_SECTIONS:
         for key, entry in value.get(part, {}).items():
             if key in merged[part]:
                 problems.append(f"{name}: $.{part}.{key}: is defined in another document too")
--- a/roadpass/journal.py
+++ b/roadpass/journal.py
@@ -4,22 +4,22 @@
 from collections import deque
 from typing import NamedTuple
 
-from roadpass.news import News
+from roadpass.news import SourceUpdate
 from roadpass.position import START, Position
 from roadpass.source import (
     Change,
     Changes,
     ConfigPublished,
+    InvalidItem,
     TargetPublished,
     TargetWithdrawn,
-    Unusable,
 )
 
-KEPT = 256
+MAX_UPDATES = 256
 """Readings kept: some minutes of a busy source. A peer that missed more is told all."""
 
 
-class _Reading(NamedTuple):
+class _Update(NamedTuple):
     """What one reading brought, and the position it went on from."""
 
     after: Position
@@ -33,10 +33,10 @@
         self._lock = threading.Lock()
         self._position = START
         self._at = float("-inf")
-        self._away_at: float | None = None
+        self._unavailable_at: float | None = None
         self._config: ConfigPublished | None = None
         self._targets: dict[str, TargetPublished] = {}
-        self._readings: deque[_Reading] = deque(maxlen=KEPT)
+        self._updates: deque[_Update] = deque(maxlen=MAX_UPDATES)
 
     def record(self, changes: Changes, at: float) -> None:
         """Note what a reading brought.
@@ -47,10 +47,10 @@
         """
         with self._lock:
             if changes.full:
-                self._readings.clear()
+                self._updates.clear()
                 self._targets.clear()
             else:
-                self._readings.append(_Reading(self._position, changes))
+                self._updates.append(_Update(self._position, changes))
             for change in changes.changes:
                 self._apply(change)
             self._position = changes.position
@@ -61,12 +61,14 @@
         with self._lock:
             self._at = max(self._at, at)
 
-    def source_away(self, at: float) -> None:
+    def mark_source_unavailable(self, at: float) -> None:
         """Note that the source could not be read at a moment."""
         with self._lock:
-            self._away_at = at if self._away_at is None else max(self._away_at, at)
+            self._unavailable_at = (
+                at if self._unavailable_at is None else max(self._unavailable_at, at)
+            )
 
-    def since(self, after: Position) -> News | None:
+    def since(self, after: Position) -> SourceUpdate | None:
         """Return what came after a position, or all if that is not known any more.
 
         Returns:
@@ -75,12 +77,12 @@
         with self._lock:
             if self._position == START:
                 return None
-            known = self._readings and self._readings[0].after <= after
+            known = self._updates and self._updates[0].after <= after
             if after >= self._position or known:
-                changes = Changes(self._position, self._later(after))
+                changes = Changes(self._position, self._changes_after(after))
             else:
-                changes = Changes(self._position, self._all(), full=True)
-            return News(changes, self._at, self._away_at)
+                changes = Changes(self._position, self._all_changes(), full=True)
+            return SourceUpdate(changes, self._at, self._unavailable_at)
 
     def _apply(self, change: Change) -> None:
         match change:
@@ -88,19 +90,19 @@
                 self._config = change
             case TargetPublished(entry=entry):
                 self._targets[entry.instance] = change
-            case TargetWithdrawn(instance=instance) | Unusable(instance=instance):
+            case TargetWithdrawn(instance=instance) | InvalidItem(instance=instance):
                 self._targets.pop(instance, None)
 
-    def _all(self) -> tuple[Change, ...]:
+    def _all_changes(self) -> tuple[Change, ...]:
         config = () if self._config is None else (self._config,)
         return (*config, *self._targets.values())
 
-    def _later(self, after: Position) -> tuple[Change, ...]:
+    def _changes_after(self, after: Position) -> tuple[Change, ...]:
         """Return the last change of each item in the readings that went past a position."""
         last: dict[str, Change] = {}
-        for reading in self._readings:
-            if reading.changes.position > after:
-                last.update((_key(change), change) for change in reading.changes.changes)
+        for update in self._updates:
+            if update.changes.position > after:
+                last.update((_key(change), change) for change in update.changes.changes)
         return tuple(last.values())
 
 
@@ -112,5 +114,5 @@
             return entry.instance
         case TargetWithdrawn(instance=instance):
             return instance
-        case Unusable(key=key, instance=instance):
+        case InvalidItem(key=key, instance=instance):
             return instance or key
--- a/roadpass/monotonic.py
+++ b/roadpass/monotonic.py
@@ -10,7 +10,7 @@
     TargetPublished,
 )
 
-LEAVING_KEPT = 10_000
+MAX_REMEMBERED_LEAVING = 10_000
 """Starts of targets that are remembered as leaving, about 0.1 KB each."""
 
 
@@ -53,13 +53,13 @@
     def _newest_entry(self, change: TargetPublished) -> TargetPublished:
         entry = change.entry
         if entry.leaving:
-            self._note_leaving(entry)
+            self._remember_leaving(entry)
         elif entry.name in self._leaving:
             return TargetPublished(entry._replace(leaving=True))
         return change
 
-    def _note_leaving(self, entry: TargetEntry) -> None:
+    def _remember_leaving(self, entry: TargetEntry) -> None:
         self._leaving.pop(entry.name, None)
         self._leaving[entry.name] = None
-        if len(self._leaving) > LEAVING_KEPT:
+        if len(self._leaving) > MAX_REMEMBERED_LEAVING:
             del self._leaving[next(iter(self._leaving))]
--- a/roadpass/news.py
+++ b/roadpass/news.py
@@ -15,17 +15,17 @@
     Change,
     Changes,
     ConfigPublished,
+    InvalidItem,
     PublishedConfig,
     PublishedService,
     TargetEntry,
     TargetPublished,
     TargetWithdrawn,
-    Unusable,
 )
 
-ASK_S = 0.35
+FETCH_TIMEOUT_S = 0.35
 """Seconds to a peer's news; it takes milliseconds, and the bounds on what it tells are 2 s."""
-_UNUSABLE = (TypeError, ValueError, IndexError, AttributeError)
+_PARSE_ERRORS = (TypeError, ValueError, IndexError, AttributeError)
 
 
 class PeerPosition(NamedTuple):
@@ -33,39 +33,39 @@
 
     Args:
         position: In the history of the source.
-        at: Clock seconds at which the source had nothing newer, as the peer tells.
+        confirmed_at: Clock seconds at which the source had nothing newer, as the peer tells.
         vm: The peer.
         address: Of its streams.
         near: Whether it is in the own data hall.
     """
 
     position: Position
-    at: float
+    confirmed_at: float
     vm: str
     address: Address
     near: bool = True
 
 
-class News(NamedTuple):
+class SourceUpdate(NamedTuple):
     """What a node holds of a source, or what it gained since a position.
 
     Args:
         changes: As the source told them.
-        at: Clock seconds at which the source is known to have had nothing newer.
-        away_at: Clock seconds at which it could last not be read, `None` if it always could.
+        confirmed_at: Clock seconds at which the source is known to have had nothing newer.
+        unavailable_at: Clock seconds at which it could last not be read, `None` if it always could.
     """
 
     changes: Changes
-    at: float
-    away_at: float | None = None
+    confirmed_at: float
+    unavailable_at: float | None = None
 
     @classmethod
-    def from_message(cls, message: Message, asked_at: float) -> "News":
+    def from_message(cls, message: Message, requested_at: float) -> "SourceUpdate":
         """Build news from a checked message.
 
         Args:
             message: Its ages are as of when it was sent.
-            asked_at: A moment before that, in clock seconds: news that were held up on their
+            requested_at: A moment before that, in clock seconds: news that were held up on their
                 way then count as older than they are, never as fresher.
 
         Raises:
@@ -79,8 +79,8 @@
         away_age_s = message.get("away_age_s")
         return cls(
             Changes(Position.from_message(message), tuple(changes), full=message["whole"]),
-            asked_at - message["age_s"],
-            None if away_age_s is None else asked_at - away_age_s,
+            requested_at - message["age_s"],
+            None if away_age_s is None else requested_at - away_age_s,
         )
 
     def to_message(self, now: float) -> Message:
@@ -88,13 +88,13 @@
         message: dict[str, Any] = {
             "t": "news",
             **self.changes.position.to_message(),
-            "age_s": max(0.0, now - self.at),
+            "age_s": max(0.0, now - self.confirmed_at),
             "whole": self.changes.full,
             "targets": [],
             "withdrawn": [],
         }
-        if self.away_at is not None:
-            message["away_age_s"] = max(0.0, now - self.away_at)
+        if self.unavailable_at is not None:
+            message["away_age_s"] = max(0.0, now - self.unavailable_at)
         for change in self.changes.changes:
             match change:
                 case ConfigPublished(config=config):
@@ -103,14 +103,14 @@
                     message["targets"].append(_entry_row(entry))
                 case TargetWithdrawn(instance=instance):
                     message["withdrawn"].append(instance)
-                case Unusable(instance=instance) if instance:
+                case InvalidItem(instance=instance) if instance:
                     message["withdrawn"].append(instance)
-                case Unusable():
+                case InvalidItem():
                     pass
         return message
 
 
-def fetch_update(peers: PeerPool, address: Address, after: Position) -> News:
+def fetch_update(peers: PeerPool, address: Address, after: Position) -> SourceUpdate:
     """Ask a peer for what the source told after a position.
 
     Raises:
@@ -119,11 +119,11 @@
     message: CatchUp = {"t": "catch_up", "after": after.revision}
     if after.era:
         message["era"] = after.era
-    asked_at = clock.now()
-    reply = peers.exchange(address, message, timeout_s=ASK_S)
+    requested_at = clock.now()
+    reply = peers.exchange(address, message, timeout_s=FETCH_TIMEOUT_S)
     if reply["t"] != "news":
         raise StreamError("The peer has no news.")
-    return News.from_message(reply, asked_at)
+    return SourceUpdate.from_message(reply, requested_at)
 
 
 def _entry_row(entry: TargetEntry) -> list[Any]:
@@ -162,7 +162,7 @@
         )
     except CustomerError as error:
         raise FrameError(str(error)) from error
-    except _UNUSABLE as error:
+    except _PARSE_ERRORS as error:
         raise FrameError(f"The configuration cannot be read: {error!r}.") from error
 
 
--- a/roadpass/patch.py
+++ b/roadpass/patch.py
@@ -6,7 +6,7 @@
 
 from roadpass.errors import DocumentError
 from roadpass.message import Message
-from roadpass.revision import MAX_DOCUMENT_BYTES, DocumentEntry, Held, Manifest
+from roadpass.revision import MAX_DOCUMENT_BYTES, DocumentEntry, HeldRevision, Manifest
 
 WHOLE = "whole"
 PATCH = "patch"
@@ -32,7 +32,7 @@
     return _decompress(zstandard.ZstdDecompressor(dict_data=dictionary), patch)
 
 
-def build_revision_reply(held: Held, have: dict[str, str]) -> Message:
+def build_revision_reply(held: HeldRevision, have: dict[str, str]) -> Message:
     """Build the answer to a peer's pull.
 
     Args:
@@ -49,7 +49,7 @@
     return {"t": "revision", "manifest": manifest.to_value(), "documents": documents}
 
 
-def read_revision_reply(held: Held, message: Message) -> tuple[Manifest, list[bytes]]:
+def read_revision_reply(held: HeldRevision, message: Message) -> tuple[Manifest, list[bytes]]:
     """Unpack a peer's answer.
 
     Raises:
@@ -62,7 +62,7 @@
     return manifest, [_content(held, entry) for entry in message["documents"]]
 
 
-def _document(held: Held, entry: DocumentEntry, peer_hash: str | None) -> Message:
+def _document(held: HeldRevision, entry: DocumentEntry, peer_hash: str | None) -> Message:
     content = held.documents[entry.hash]
     base = held.find(peer_hash) if peer_hash else None
     if base is None:
@@ -72,7 +72,7 @@
     return {"hash": entry.hash, "form": PATCH, "base": peer_hash, "data": data}
 
 
-def _content(held: Held, document: Message) -> bytes:
+def _content(held: HeldRevision, document: Message) -> bytes:
     data = document["data"]
     if not isinstance(data, bytes):
         raise DocumentError(document["hash"], ["is not bytes"])
--- a/roadpass/peer_positions.py
+++ b/roadpass/peer_positions.py
@@ -12,7 +12,7 @@
         self._peers: dict[str, PeerPosition] = {}
         self._unanswered = Unanswered()
 
-    def note(self, peer: PeerPosition) -> None:
+    def record(self, peer: PeerPosition) -> None:
         """Note a peer's position in the place of its last one."""
         self._peers[peer.vm] = peer
 
@@ -33,14 +33,14 @@
         can_be_asked = [p for vm, p in self._peers.items() if not self._unanswered.holds(vm, now)]
         return max(can_be_asked, key=self._rank, default=None)
 
-    def answered(self, vm: str) -> None:
+    def fetch_succeeded(self, vm: str) -> None:
         """Note that a peer told all that it held."""
         self._peers.pop(vm, None)
         self._unanswered.answered(vm)
 
-    def did_not_answer(self, vm: str, now: float) -> None:
+    def fetch_failed(self, vm: str, now: float) -> None:
         """Note that a peer could not be asked at a moment."""
         self._unanswered.note(vm, now)
 
     def _rank(self, peer: PeerPosition) -> tuple[int, bool, Position, float]:
-        return (-self._unanswered.times(peer.vm), peer.near, peer.position, peer.at)
+        return (-self._unanswered.times(peer.vm), peer.near, peer.position, peer.confirmed_at)
--- a/roadpass/platform/decode.py
+++ b/roadpass/platform/decode.py
@@ -21,12 +21,12 @@
 from roadpass.source import (
     Change,
     ConfigPublished,
+    InvalidItem,
     PublishedConfig,
     PublishedService,
     TargetEntry,
     TargetPublished,
     TargetWithdrawn,
-    Unusable,
 )
 
 CONFIG_KEY = "op/config"
@@ -34,7 +34,7 @@
 _UNITS = (("ms", 0.001), ("s", 1.0))
 _INSTANCE = re.compile(r"[!-~]{1,200}")
 """What may be an id: it goes into a header of each request to its target, so no line ends."""
-_UNUSABLE = (
+_PARSE_ERRORS = (
     *(KeyError, TypeError, ValueError, AttributeError, IndexError, OverflowError),
     RecursionError,  # of values nested too deep to be read
 )
@@ -44,10 +44,10 @@
     """Read one item or event of the store; `None` if it concerns nothing of ours."""
     try:
         key = item["TlsKey"]
-    except _UNUSABLE as error:
-        return Unusable("", f"the item has no key: {error!r}")
+    except _PARSE_ERRORS as error:
+        return InvalidItem("", f"the item has no key: {error!r}")
     if not isinstance(key, str):
-        return Unusable("", f"the item's key is no text: {key!r:.100}")
+        return InvalidItem("", f"the item's key is no text: {key!r:.100}")
     instance = key.removeprefix(TARGETS_PREFIX) if key.startswith(TARGETS_PREFIX) else ""
     try:
         if key == CONFIG_KEY:
@@ -57,7 +57,7 @@
         if instance:
             return TargetPublished(target(instance, _value(item)))
     except PlatformError as error:
-        return Unusable(key, str(error), instance)
+        return InvalidItem(key, str(error), instance)
     return None
 
 
@@ -77,7 +77,7 @@
             ),
             customers=_customers(value.get("Tenants")),
         )
-    except _UNUSABLE as error:
+    except _PARSE_ERRORS as error:
         raise PlatformError(f"The configuration makes no sense: {error!r}.") from error
 
 
@@ -114,7 +114,7 @@
 def _value(item: Mapping[str, Any]) -> Any:
     try:
         return json.loads(str(base64.b64decode(item["Value"], validate=True), "utf-8"))
-    except (*_UNUSABLE, binascii.Error) as error:
+    except (*_PARSE_ERRORS, binascii.Error) as error:
         raise PlatformError(f"The value cannot be read: {error!r}.") from error
 
 
@@ -154,7 +154,7 @@
         return Customers.from_keys((_customer(row), tuple(row["ApiKeys"])) for row in _rows(table))
     except CustomerError as error:
         raise PlatformError(f"The customers make no sense: {error}") from error
-    except _UNUSABLE as error:
+    except _PARSE_ERRORS as error:
         raise PlatformError(f"The customers make no sense: {type(error).__name__}.") from None
 
 
--- a/roadpass/platform/store.py
+++ b/roadpass/platform/store.py
@@ -19,12 +19,12 @@
 and is far more than the way and the store's work take."""
 CALLS = "platform_calls"
 """Counter of calls; a waiting watch is one."""
-PAGES = 200
+MAX_PAGES = 200
 """Most pages of one reading, about 500 items each."""
-HISTORY_LOST = 410
+HISTORY_LOST_STATUS = 410
 ERA = "Store-Era"
 """Header of all answers; it rises by one whenever the store is restored from a backup."""
-PIECE_BYTES = 65536
+CHUNK_BYTES = 65536
 """Most bytes to read at a time."""
 
 
@@ -54,7 +54,7 @@
         changes: list[Change] = []
         position: Position | None = None
         after = ""
-        for _ in range(PAGES):
+        for _ in range(MAX_PAGES):
             fields = {"PathPrefix": "", **options}
             if after:
                 fields["after"] = after
@@ -70,7 +70,7 @@
             position = at if position is None else min(position, at)
             if not after:
                 return Changes(position, tuple(changes), full=True)
-        raise PlatformError(f"The store has more than {PAGES} pages.")
+        raise PlatformError(f"The store has more than {MAX_PAGES} pages.")
 
     def watch(self, after: Position, wait_s: float) -> Changes:
         """Wait for what happens after a position; see `Source`."""
@@ -89,17 +89,17 @@
         """Return the body of an answer and the era that it is of."""
         self._metrics.count(CALLS)
         url = f"{self._url}{path}?{urlencode(fields)}"
-        until = clock.now() + timeout_s
+        deadline = clock.now() + timeout_s
         try:
             response = self._pool.request(
                 "GET", url, timeout=timeout_s, redirect=False, preload_content=False
             )
-            body = _body(response, until)
+            body = _body(response, deadline)
         except urllib3.exceptions.HTTPError as error:
             self._pool.clear()
             raise PlatformError(f"The store did not answer: {error}.") from error
         era = self._read_era(response.headers.get(ERA))
-        if response.status == HISTORY_LOST:
+        if response.status == HISTORY_LOST_STATUS:
             raise HistoryLostError("The store has forgotten its history.")
         if response.status != 200:
             raise PlatformError(f"The store answered {response.status}.")
@@ -128,20 +128,20 @@
         return era
 
 
-def _body(response: urllib3.BaseHTTPResponse, until: float) -> bytes:
+def _body(response: urllib3.BaseHTTPResponse, deadline: float) -> bytes:
     """Read a body until a moment: the library's limit is one for each piece of it.
 
     Raises:
         urllib3.exceptions.HTTPError: It is not whole by then, or the connection is lost.
     """
-    pieces = []
-    while piece := response.read1(PIECE_BYTES):
-        pieces.append(piece)
-        if clock.now() > until:
+    chunks = []
+    while chunk := response.read1(CHUNK_BYTES):
+        chunks.append(chunk)
+        if clock.now() > deadline:
             response.close()
             raise urllib3.exceptions.ProtocolError("The answer was not whole in time.")
     response.release_conn()
-    return b"".join(pieces)
+    return b"".join(chunks)
 
 
 def _changes(items: Any) -> list[Change]:
--- a/roadpass/reader.py
+++ b/roadpass/reader.py
@@ -18,19 +18,19 @@
 from roadpass.metric import Metrics
 from roadpass.patch import read_revision_reply
 from roadpass.peer import Address, PeerPool
-from roadpass.revision import Held, Manifest, Version
+from roadpass.revision import HeldRevision, Manifest, Version
 from roadpass.settings import Settings
 from roadpass.stream import FRAME_LIMIT_S
 from roadpass.unanswered import Unanswered
 
-VM_LIST_S = 10.0
+VM_LIST_INTERVAL_S = 10.0
 RETRY_S = 2.0
 STALE_S = 30.0
 """News of the platform older than this makes a node try for itself."""
-SELF_TRY_PER_NODE_S = 1.0
+SELF_POLL_INTERVAL_PER_NODE_S = 1.0
 """The mean time between own tries grows with the fleet: about one a second in all."""
-PULL_S = 2.0
-VERDICT_S = 1.0
+PULL_TIMEOUT_S = 2.0
+VERDICT_TIMEOUT_S = 1.0
 PULLS_BYTES = "pull_bytes"
 
 _log = logging.getLogger("roadpass.reader")
@@ -78,7 +78,7 @@
         events: What to call.
         audit: The audit trail.
         rng: Source of randomness.
-        asked: Set once the platform has been asked, whether it answered or not.
+        polled: Set once the platform has been asked, whether it answered or not.
     """
 
     def __init__(
@@ -90,7 +90,7 @@
         events: ReaderEvents,
         audit: AuditTrail,
         rng: random.Random,
-        asked: threading.Event,
+        polled: threading.Event,
     ) -> None:
         super().__init__()
         self._settings = settings
@@ -101,12 +101,12 @@
         self._audit = audit
         self._rng = rng
         self._next_vms = 0.0
-        self._next_try = 0.0
+        self._next_self_poll = 0.0
         self._reachable = True
         self._refused_manifest = ""
         self._was_reader = False
-        self._bad: set[Version] = set()
-        self._asked = asked
+        self._refused_versions: set[Version] = set()
+        self._polled = polled
 
     def on_start(self) -> None:
         """Ask the platform once, reader or not: a new node takes the newest there is."""
@@ -132,8 +132,8 @@
             Seconds until the next.
         """
         status = self._status()
-        first = not self._asked.is_set()
-        if not first and not status.is_reader and not self._own_try_due(status):
+        first = not self._polled.is_set()
+        if not first and not status.is_reader and not self._self_poll_due(status):
             self._was_reader = False
             return 0.5
         try:
@@ -146,12 +146,12 @@
             self._note_refused_manifest(str(error))
             return RETRY_S * self._rng.uniform(0.5, 1.5)
         finally:
-            self._asked.set()
+            self._polled.set()
         return 0.0 if status.is_reader else 0.5
 
     def _read(self, *, watch: bool) -> None:
         if watch:
-            after = max(self._store.held.version.revision, self._newest_bad())
+            after = max(self._store.held.version.revision, self._newest_refused())
             manifest = self._platform.watch(after, self._settings.watch_s)
         else:
             manifest = self._platform.manifest()
@@ -161,42 +161,42 @@
             self._fetch(manifest)
         now = clock.now()
         if now >= self._next_vms:
-            self._next_vms = now + VM_LIST_S
+            self._next_vms = now + VM_LIST_INTERVAL_S
             self._events.on_vms(self._platform.vms())
 
     def _fetch(self, manifest: Manifest) -> None:
         held = self._store.held
         if manifest.version < held.version:
             self._events.offer(RevisionOffer(manifest, (), "the platform"))
-        if manifest.version <= held.version or manifest.version in self._bad:
+        if manifest.version <= held.version or manifest.version in self._refused_versions:
             return
         documents = [self._platform.document(entry) for entry in held.missing(manifest)]
         self._events.offer(RevisionOffer(manifest, tuple(documents), "the platform"))
-        self._remember_unless_taken(manifest.version)
+        self._await_verdict(manifest.version)
 
-    def _remember_unless_taken(self, version: Version) -> None:
+    def _await_verdict(self, version: Version) -> None:
         """Wait shortly for the verdict, so that a bad revision is not watched over and over."""
-        deadline = clock.now() + VERDICT_S
+        deadline = clock.now() + VERDICT_TIMEOUT_S
         while clock.now() < deadline:
             if self._store.held.version >= version:
                 return
             time.sleep(0.02)
         if self._store.is_refused(version):
-            self._bad.add(version)
+            self._refused_versions.add(version)
 
-    def _newest_bad(self) -> int:
-        return max((version.revision for version in self._bad), default=0)
+    def _newest_refused(self) -> int:
+        return max((version.revision for version in self._refused_versions), default=0)
 
-    def _own_try_due(self, status: Status) -> bool:
+    def _self_poll_due(self, status: Status) -> bool:
         if status.platform_age_s < STALE_S:
             return False
         now = clock.now()
-        mean = max(STALE_S, status.fleet_size * SELF_TRY_PER_NODE_S)
-        if self._next_try == 0.0:
-            self._next_try = now + self._rng.uniform(0.0, mean)
-        if now < self._next_try:
+        mean = max(STALE_S, status.fleet_size * SELF_POLL_INTERVAL_PER_NODE_S)
+        if self._next_self_poll == 0.0:
+            self._next_self_poll = now + self._rng.uniform(0.0, mean)
+        if now < self._next_self_poll:
             return False
-        self._next_try = now + mean * self._rng.uniform(0.5, 1.5)
+        self._next_self_poll = now + mean * self._rng.uniform(0.5, 1.5)
         return True
 
     def _note_refused_manifest(self, why: str) -> None:
@@ -249,31 +249,41 @@
         """Handle one message."""
         match message:
             case VersionAnnounced():
-                self._on_news(message)
+                self._on_announcement(message)
             case _:
                 _log.error("unknown message %r", message)
 
-    def _on_news(self, news: VersionAnnounced) -> None:
+    def _on_announcement(self, announcement: VersionAnnounced) -> None:
         now = clock.now()
         held = self._store.held
-        recent = now - self._offered.get(news.version, float("-inf")) < PULL_S
-        if news.version <= held.version or recent or self._store.is_refused(news.version):
+        recent = now - self._offered.get(announcement.version, float("-inf")) < PULL_TIMEOUT_S
+        if (
+            announcement.version <= held.version
+            or recent
+            or self._store.is_refused(announcement.version)
+        ):
             return
-        if self._unanswered.holds(news.address, now):
+        if self._unanswered.holds(announcement.address, now):
             return
-        pulled = self._pull_either_way(held, news.address)
+        pulled = self._pull_with_fallback(held, announcement.address)
         if pulled is None:
-            self._unanswered.note(news.address, clock.now())
+            self._unanswered.note(announcement.address, clock.now())
             return
-        self._unanswered.answered(news.address)
+        self._unanswered.answered(announcement.address)
         manifest, documents = pulled
-        self._offered = {v: at for v, at in self._offered.items() if now - at < PULL_S}
+        self._offered = {v: at for v, at in self._offered.items() if now - at < PULL_TIMEOUT_S}
         self._offered[manifest.version] = now
         self._offer(
-            RevisionOffer(manifest, tuple(documents), f"peer {news.address[0]}:{news.address[1]}")
+            RevisionOffer(
+                manifest,
+                tuple(documents),
+                f"peer {announcement.address[0]}:{announcement.address[1]}",
+            )
         )
 
-    def _pull_either_way(self, held: Held, address: Address) -> tuple[Manifest, list[bytes]] | None:
+    def _pull_with_fallback(
+        self, held: HeldRevision, address: Address
+    ) -> tuple[Manifest, list[bytes]] | None:
         for patches in (True, False):
             try:
                 return self._pull(held, address, patches=patches)
@@ -284,10 +294,14 @@
                 return None
         return None
 
-    def _pull(self, held: Held, address: Address, *, patches: bool) -> tuple[Manifest, list[bytes]]:
+    def _pull(
+        self, held: HeldRevision, address: Address, *, patches: bool
+    ) -> tuple[Manifest, list[bytes]]:
         entries = held.manifest.documents if held.manifest and patches else ()
         message: Pull = {"t": "pull", "have": {entry.name: entry.hash for entry in entries}}
-        reply = self._peers.exchange(address, message, timeout_s=PULL_S, rest_s=FRAME_LIMIT_S)
+        reply = self._peers.exchange(
+            address, message, timeout_s=PULL_TIMEOUT_S, rest_s=FRAME_LIMIT_S
+        )
         if reply["t"] != "revision":
             raise StreamError("The peer did not send a revision.")
         for document in reply["documents"]:
--- a/roadpass/reading_log.py
+++ b/roadpass/reading_log.py
@@ -13,15 +13,15 @@
 PART = "reader"
 
 
-def log_reading(
+def log_read(
     changes: Changes,
     *,
     told_by: str,
     after: Position | None,
     config_held: int | None,
-    news_at: float,
+    update_confirmed_at: float,
     confirmed_at: float,
-    asked_at: float,
+    requested_at: float,
 ) -> None:
     """Log what was asked for and what came, so that a change that was never told shows.
 
@@ -30,9 +30,9 @@
         told_by: The peer, empty for the source.
         after: The position held before.
         config_held: The version of the configuration held before.
-        news_at: Clock seconds as of which the source had nothing newer,
+        update_confirmed_at: Clock seconds as of which the source had nothing newer,
         confirmed_at: the same for what was held before.
-        asked_at: Clock seconds at which it was asked.
+        requested_at: Clock seconds at which it was asked.
     """
     configs = [c.config for c in changes.changes if isinstance(c, ConfigPublished)]
     decided(
@@ -45,9 +45,9 @@
         whole=changes.full,
         config=configs[-1].version if configs else None,
         config_held=config_held,
-        news_age_s=_age_s(news_at),
+        news_age_s=_age_s(update_confirmed_at),
         confirmed_age_s=_age_s(confirmed_at),
-        took_s=_age_s(asked_at),
+        took_s=_age_s(requested_at),
     )
 
 
@@ -57,7 +57,7 @@
     failures: int,
     after: Position | None,
     confirmed_at: float,
-    asked_at: float,
+    requested_at: float,
 ) -> None:
     """Log a call to the source that failed; arguments as above, `failures` are those in a row."""
     decided(
@@ -67,16 +67,16 @@
         failures=failures,
         **logged(after, "after"),
         confirmed_age_s=_age_s(confirmed_at),
-        took_s=_age_s(asked_at),
+        took_s=_age_s(requested_at),
     )
 
 
-def log_overtaken(
+def log_read_superseded(
     result: Changes | PlatformError,
     *,
     asked_after: Position | None,
     after: Position | None,
-    asked_at: float,
+    requested_at: float,
 ) -> None:
     """Log what a call brought too late: peers had told more than it could before it was over."""
     decided(
@@ -86,12 +86,12 @@
         **logged(result.position if isinstance(result, Changes) else None, "store_revision"),
         **logged(asked_after, "asked_after"),
         **logged(after, "after"),
-        took_s=_age_s(asked_at),
+        took_s=_age_s(requested_at),
     )
 
 
-def log_unanswered(
-    peer: PeerPosition, error: StreamError, *, after: Position | None, asked_at: float
+def log_peer_failed(
+    peer: PeerPosition, error: StreamError, *, after: Position | None, requested_at: float
 ) -> None:
     """Log a question to a peer that it did not answer; arguments as above."""
     decided(
@@ -101,8 +101,8 @@
         **logged(peer.position, "revision"),
         error=str(error),
         **logged(after, "after"),
-        word_age_s=_age_s(peer.at),
-        took_s=_age_s(asked_at),
+        word_age_s=_age_s(peer.confirmed_at),
+        took_s=_age_s(requested_at),
     )
 
 
@@ -114,7 +114,7 @@
         vm=peer.vm,
         **logged(peer.position, "revision"),
         **logged(held, "held"),
-        word_age_s=_age_s(peer.at),
+        word_age_s=_age_s(peer.confirmed_at),
     )
 
 
--- a/roadpass/revision.py
+++ b/roadpass/revision.py
@@ -97,7 +97,7 @@
     return Order.CONFLICT_WINS if offered.digest > current.digest else Order.CONFLICT_LOSES
 
 
-class Held(NamedTuple):
+class HeldRevision(NamedTuple):
     """What a node holds of the revision in force; immutable, so any thread may read it."""
 
     version: Version
@@ -106,7 +106,7 @@
     older: Mapping[str, bytes]
 
     @classmethod
-    def nothing(cls) -> "Held":
+    def empty(cls) -> "HeldRevision":
         """Return what a new node holds."""
         return cls(NO_VERSION, None, {}, {})
 
@@ -118,7 +118,7 @@
         """Return a held document by its hash."""
         return self.documents.get(digest) or self.older.get(digest)
 
-    def advance(self, manifest: Manifest, fetched: Iterable[bytes]) -> tuple["Held", Fleet]:
+    def advance(self, manifest: Manifest, fetched: Iterable[bytes]) -> tuple["HeldRevision", Fleet]:
         """Take over a revision, whole and valid, or raise.
 
         Args:
@@ -142,7 +142,7 @@
             texts.append((entry.name, _decode(entry.name, content)))
         version = manifest.version
         fleet = Fleet.from_documents(texts, revision=version.revision, digest=version.digest)
-        return Held(version, manifest, documents, self._kept(documents)), fleet
+        return HeldRevision(version, manifest, documents, self._kept(documents)), fleet
 
     def _kept(self, documents: Mapping[str, bytes]) -> dict[str, bytes]:
         kept: dict[str, bytes] = {}
--- a/roadpass/revived.py
+++ b/roadpass/revived.py
@@ -6,34 +6,34 @@
 
 from roadpass.source import TargetEntry
 
-HELD_S = 5.0
+RESTORED_HOLD_S = 5.0
 """Seconds for which such an entry names no target: it lapses again within three heartbeats, 4.5 s,
 unless its target lives."""
-WITHDRAWN_KEPT = 10_000
+MAX_REMEMBERED_WITHDRAWN = 10_000
 """Starts of targets that are remembered as withdrawn, about 0.1 KB each."""
 
 
-class _Held(NamedTuple):
+class _HeldEntry(NamedTuple):
     """An entry, and until when it is held."""
 
     entry: TargetEntry
     until: float
 
 
-class RevivedEntries:
+class RestoredEntries:
     """Holds them until the target has written its entry again, or it has not lapsed; pure."""
 
     def __init__(self) -> None:
         self._withdrawn: dict[str, None] = {}
         """Names of starts, the latest last."""
-        self._held: dict[str, _Held] = {}
+        self._held: dict[str, _HeldEntry] = {}
         """By the id of the target."""
 
-    def note_withdrawn(self, entry: TargetEntry) -> None:
+    def remember_withdrawn(self, entry: TargetEntry) -> None:
         """Note that a target's entry is gone."""
         self._withdrawn.pop(entry.name, None)
         self._withdrawn[entry.name] = None
-        if len(self._withdrawn) > WITHDRAWN_KEPT:
+        if len(self._withdrawn) > MAX_REMEMBERED_WITHDRAWN:
             del self._withdrawn[next(iter(self._withdrawn))]
 
     def hold(self, now: float, entry: TargetEntry, *, restored: bool, full: bool) -> bool:
@@ -47,7 +47,7 @@
         """
         held = self._held.get(entry.instance)
         if restored and entry.name in self._withdrawn:
-            self._held[entry.instance] = _Held(entry, now + HELD_S)
+            self._held[entry.instance] = _HeldEntry(entry, now + RESTORED_HOLD_S)
             return True
         if full and held is not None and held.entry.name == entry.name:
             self._held[entry.instance] = held._replace(entry=entry)
@@ -67,12 +67,12 @@
 
     def release(self, now: float) -> list[TargetEntry]:
         """Return the entries that have not lapsed in time, and hold them no longer."""
-        over = [held.entry for held in self._held.values() if held.until <= now]
-        for entry in over:
+        expired = [held.entry for held in self._held.values() if held.until <= now]
+        for entry in expired:
             del self._held[entry.instance]
             self._withdrawn.pop(entry.name, None)
-        return over
+        return expired
 
-    def next_release(self) -> float:
+    def next_release_at(self) -> float:
         """Return the clock seconds at which the next entry is released, infinite for none."""
         return min((held.until for held in self._held.values()), default=math.inf)
--- a/roadpass/source.py
+++ b/roadpass/source.py
@@ -97,7 +97,7 @@
     instance: str
 
 
-class Unusable(NamedTuple):
+class InvalidItem(NamedTuple):
     """An item that makes no sense.
 
     Args:
@@ -112,7 +112,7 @@
     instance: str = ""
 
 
-Change: TypeAlias = ConfigPublished | TargetPublished | TargetWithdrawn | Unusable
+Change: TypeAlias = ConfigPublished | TargetPublished | TargetWithdrawn | InvalidItem
 
 
 class Changes(NamedTuple):
--- a/roadpass/source_caller.py
+++ b/roadpass/source_caller.py
@@ -14,35 +14,35 @@
 _log = logging.getLogger("roadpass.reader")
 
 
-class Call(NamedTuple):
+class SourceRequest(NamedTuple):
     """One reading.
 
     Args:
         after: The position to go on from, `None` for all there is.
         wait_s: Seconds to wait for changes.
-        asked_at: Clock seconds at which it was wanted.
+        requested_at: Clock seconds at which it was wanted.
     """
 
     after: Position | None
     wait_s: float
-    asked_at: float
+    requested_at: float
 
 
-class Called(NamedTuple):
+class SourceResult(NamedTuple):
     """What came of a reading.
 
     Args:
-        call: The reading.
+        request: The reading.
         result: What it brought, or why nothing.
         at: Clock seconds at which it was over.
     """
 
-    call: Call
+    request: SourceRequest
     result: Changes | PlatformError
     at: float
 
 
-class SourceCaller(Actor):
+class SourceFetcher(Actor):
     """Makes one call after the other, and tells what came of each.
 
     Args:
@@ -58,24 +58,24 @@
     def handle(self, message: Any) -> None:
         """Handle one message."""
         match message:
-            case Call():
-                self._tell(Called(message, self._result(message), clock.now()))
+            case SourceRequest():
+                self._report(SourceResult(message, self._fetch_result(message), clock.now()))
             case _:
                 _log.error("unknown message %r", message)
 
-    def _result(self, call: Call) -> Changes | PlatformError:
+    def _fetch_result(self, request: SourceRequest) -> Changes | PlatformError:
         try:
-            if call.after is None:
+            if request.after is None:
                 return self._source.snapshot()
-            return self._source.watch(call.after, call.wait_s)
+            return self._source.watch(request.after, request.wait_s)
         except PlatformError as error:
             return error
         except Exception as error:
             _log.exception("a call to the source failed in a way that nobody foresaw")
             return PlatformError(f"The call failed: {error!r}.")
 
-    def _tell(self, called: Called) -> None:
+    def _report(self, response: SourceResult) -> None:
         try:
-            self._reader.tell(called)
+            self._reader.tell(response)
         except pykka.ActorDeadError:
             _log.info("nobody waits for the source any more")
--- a/roadpass/store_reader.py
+++ b/roadpass/store_reader.py
@@ -27,20 +27,20 @@
 from roadpass.fleet import Fleet
 from roadpass.journal import Journal
 from roadpass.monotonic import MonotonicReads
-from roadpass.news import News, PeerPosition
+from roadpass.news import PeerPosition, SourceUpdate
 from roadpass.peer import Address
-from roadpass.peer_asker import Ask, Asked, PeerAsker
+from roadpass.peer_asker import PeerFetcher, PeerRequest, PeerResult
 from roadpass.peer_positions import PeerPositions
 from roadpass.position import START, Position
 from roadpass.reading_log import (
-    log_overtaken,
     log_peer_behind,
-    log_reading,
+    log_peer_failed,
+    log_read,
+    log_read_superseded,
     log_source_failed,
-    log_unanswered,
     logged,
 )
-from roadpass.reading_turn import FIRST_WORD_S, ReaderRank, ReadingTurn
+from roadpass.reading_turn import FIRST_REPLY_WAIT_S, ReaderRank, ReadSchedule
 from roadpass.source import (
     Changes,
     HistoryLostError,
@@ -49,8 +49,8 @@
     TargetEntry,
     TargetPublished,
 )
-from roadpass.source_caller import Call, Called, SourceCaller
-from roadpass.unusable import UnusableItems
+from roadpass.source_caller import SourceFetcher, SourceRequest, SourceResult
+from roadpass.unusable import InvalidItemAudit
 
 TICK_S = 0.1
 """Seconds between looks at whether it is this node's turn."""
@@ -58,7 +58,7 @@
 RETRY_MAX_S = 0.8
 """Seconds to pause after a failed call, doubled up to the latter: bounds run while the source is
 away."""
-ANSWER_S = 0.25
+SOURCE_GRACE_S = 0.25
 """Seconds from hearing that there is more until peers are asked although a call is under way: it
 tells the same before that, also with a slow source, unless it hangs."""
 DEFAULT_BOUND_S = 2.0
@@ -85,7 +85,7 @@
     on_fleet: Callable[[Fleet, PublishedConfig], None]
     on_peers: Callable[[Sequence[TargetEntry]], None]
     on_confirmed: Callable[[Position, float, bool], None]
-    fetch_update: Callable[[Address, Position], News]
+    fetch_update: Callable[[Address, Position], SourceUpdate]
     reader_rank: Callable[[], ReaderRank]
 
 
@@ -120,56 +120,56 @@
         self._events = events
         self._audit = audit
         self._rng = rng
-        self._turn = ReadingTurn(bound_s, rng.random())
+        self._schedule = ReadSchedule(bound_s, rng.random())
         self._peers = PeerPositions()
         self._reads = MonotonicReads()
         self._position: Position | None = None
-        self._lost_at = START
+        self._history_lost_at = START
         self._confirmed_at = -math.inf
-        self._rest_until = -math.inf
+        self._pause_until = -math.inf
         self._failures = 0
-        self._calling: Call | None = None
-        self._asking: Ask | None = None
+        self._source_request: SourceRequest | None = None
+        self._peer_request: PeerRequest | None = None
         self._behind_since = math.inf
-        self._logged_behind = START
-        self._unusable = UnusableItems(audit)
-        self._tick_waits = False
-        self._ticker = Ticker("reader-tick", TICK_S, self._tick_soon)
+        self._behind_logged_at = START
+        self._invalid_items = InvalidItemAudit(audit)
+        self._tick_queued = False
+        self._ticker = Ticker("reader-tick", TICK_S, self._queue_tick)
 
     def on_start(self) -> None:
         """Find peers, and begin to look."""
-        self._caller = SourceCaller.start(self._source, self.actor_ref)
-        self._asker = PeerAsker.start(self._events.fetch_update, self.actor_ref)
+        self._source_fetcher = SourceFetcher.start(self._source, self.actor_ref)
+        self._peer_fetcher = PeerFetcher.start(self._events.fetch_update, self.actor_ref)
         self._find_peers()
         self._ticker.start()
 
     def on_stop(self) -> None:
         """Stop to look."""
         self._ticker.stop()
-        self._caller.stop(block=False)
-        self._asker.stop(block=False)
+        self._source_fetcher.stop(block=False)
+        self._peer_fetcher.stop(block=False)
 
     def handle(self, message: Any) -> None:
         """Handle one message."""
         match message:
             case Tick():
                 self._on_tick()
-            case Called():
-                self._on_called(message)
-            case Asked():
-                self._on_asked(message)
+            case SourceResult():
+                self._on_source_result(message)
+            case PeerResult():
+                self._on_peer_result(message)
             case PeerPosition():
                 self._on_peer_position(message)
             case Policy():
-                self._catalogue.adopt(message)
+                self._catalogue.set_policy(message)
                 self._publish(True)
             case _:
                 _log.error("unknown message %r", message)
 
-    def _tick_soon(self) -> None:
+    def _queue_tick(self) -> None:
         """Have the actor look again, unless it has yet to do so; called by the ticker's thread."""
-        if not self._tick_waits:
-            self._tick_waits = True
+        if not self._tick_queued:
+            self._tick_queued = True
             self.actor_ref.tell(Tick())
 
     def _find_peers(self) -> None:
@@ -179,10 +179,10 @@
         except PlatformError as error:
             _log.info("no peers found: %s", error)
             return
-        if self._name_peers(changes):
-            self._rest_until = clock.now() + FIRST_WORD_S
+        if self._report_peers(changes):
+            self._pause_until = clock.now() + FIRST_REPLY_WAIT_S
 
-    def _name_peers(self, changes: Changes) -> bool:
+    def _report_peers(self, changes: Changes) -> bool:
         """Tell beside which targets there are nodes; return whether there are any."""
         entries = [c.entry for c in changes.changes if isinstance(c, TargetPublished)]
         if entries:
@@ -190,37 +190,37 @@
         return bool(entries)
 
     def _on_tick(self) -> None:
-        self._tick_waits = False
+        self._tick_queued = False
         now = clock.now()
         if self._is_due(now):
-            self._call(now)
+            self._start_read(now)
         self._catch_up(now)
         self._publish(False)
 
     def _is_due(self, now: float) -> bool:
         """Tell whether this node is to read the source now, and does not do so yet."""
-        if self._calling is not None or now < self._rest_until:
+        if self._source_request is not None or now < self._pause_until:
             return False
-        return self._turn.is_due(self._events.reader_rank(), now - self._confirmed_at)
+        return self._schedule.is_due(self._events.reader_rank(), now - self._confirmed_at)
 
     def _on_peer_position(self, peer: PeerPosition) -> None:
         """Hear up to where a peer holds the source: what it holds beyond this node is asked for."""
         if peer.position > self._watermark:
             now = clock.now()
             self._behind_since = min(self._behind_since, now)
-            self._peers.note(peer)
+            self._peers.record(peer)
             self._catch_up(now)
-        elif peer.at <= self._confirmed_at:
+        elif peer.confirmed_at <= self._confirmed_at:
             return
         elif peer.position == self._position:
-            self._confirm(peer.at, own=False)
+            self._confirm(peer.confirmed_at, own=False)
         else:
             self._log_behind(peer)
 
     def _log_behind(self, peer: PeerPosition) -> None:
         """Log the first peer that is behind this node, once for each position held."""
-        if self._position is not None and self._position != self._logged_behind:
-            self._logged_behind = self._position
+        if self._position is not None and self._position != self._behind_logged_at:
+            self._behind_logged_at = self._position
             log_peer_behind(peer, held=self._position)
 
     @property
@@ -230,98 +230,107 @@
         After the source has lost its history, what peers hold from before tells nothing: only a
         whole reading, the own one or a peer's, goes on from there.
         """
-        return self._lost_at if self._position is None else self._position
+        return self._history_lost_at if self._position is None else self._position
 
     def _catch_up(self, now: float) -> None:
         """Ask a peer that holds more for what this node lacks, unless it reads by itself soon."""
-        if self._asking is not None or not self._may_ask(now):
+        if self._peer_request is not None or not self._should_ask_peer(now):
             return
         peer = self._peers.best(now, self._watermark)
         if peer is not None:
-            self._asking = Ask(peer, self._position or START, now)
-            self._asker.tell(self._asking)
+            self._peer_request = PeerRequest(peer, self._position or START, now)
+            self._peer_fetcher.tell(self._peer_request)
 
-    def _may_ask(self, now: float) -> bool:
+    def _should_ask_peer(self, now: float) -> bool:
         """Tell whether peers are a nearer hope than the source."""
         if self._is_due(now):
             return False
-        if self._calling is None or self._failures:
+        if self._source_request is None or self._failures:
             return True
-        return now - self._behind_since > ANSWER_S
+        return now - self._behind_since > SOURCE_GRACE_S
 
-    def _on_asked(self, asked: Asked) -> None:
+    def _on_peer_result(self, response: PeerResult) -> None:
         """Take in what a peer told; the source may have told more meanwhile."""
-        self._asking = None
-        peer = asked.ask.peer
-        match asked.result:
+        self._peer_request = None
+        peer = response.request.peer
+        match response.result:
             case StreamError() as error:
-                self._peers.did_not_answer(peer.vm, asked.at)
-                log_unanswered(peer, error, after=self._position, asked_at=asked.ask.asked_at)
+                self._peers.fetch_failed(peer.vm, response.at)
+                log_peer_failed(
+                    peer, error, after=self._position, requested_at=response.request.requested_at
+                )
             case news:
-                self._peers.answered(peer.vm)
-                if news.away_at is not None:
-                    self._source_away(news.away_at)
+                self._peers.fetch_succeeded(peer.vm)
+                if news.unavailable_at is not None:
+                    self._mark_source_unavailable(news.unavailable_at)
                 if news.changes.position > self._watermark:
-                    self._take(news.changes, news.at, origin=peer.vm, asked_at=asked.ask.asked_at)
+                    self._apply(
+                        news.changes,
+                        news.confirmed_at,
+                        origin=peer.vm,
+                        requested_at=response.request.requested_at,
+                    )
         self._catch_up(clock.now())
 
-    def _call(self, now: float) -> None:
+    def _start_read(self, now: float) -> None:
         """Have the source called; what comes of it is told later."""
-        wait_s = self._turn.wait_s(now - self._confirmed_at)
-        self._calling = Call(self._position, 0.0 if self._position is None else wait_s, now)
-        self._caller.tell(self._calling)
+        wait_s = self._schedule.wait_s(now - self._confirmed_at)
+        self._source_request = SourceRequest(
+            self._position, 0.0 if self._position is None else wait_s, now
+        )
+        self._source_fetcher.tell(self._source_request)
 
-    def _on_called(self, called: Called) -> None:
+    def _on_source_result(self, response: SourceResult) -> None:
         """Take in what a call brought; peers may have told more meanwhile."""
-        self._calling = None
-        call = called.call
-        match called.result:
-            case HistoryLostError() as error if call.after == self._position:
-                self._lost_at = self._position or self._lost_at
+        self._source_request = None
+        request = response.request
+        match response.result:
+            case HistoryLostError() as error if request.after == self._position:
+                self._history_lost_at = self._position or self._history_lost_at
                 self._position = None
-                self._failed(error, call.asked_at)
+                self._failed(error, request.requested_at)
             case HistoryLostError():
-                self._overtaken(called)
+                self._log_superseded(response)
             case PlatformError() as error:
-                self._source_away(clock.now())
-                self._failed(error, call.asked_at)
+                self._mark_source_unavailable(clock.now())
+                self._failed(error, request.requested_at)
             case changes:
                 self._succeeded()
                 if changes.changes:
-                    self._rest_until = clock.now() + self._turn.rest_s
+                    self._pause_until = clock.now() + self._schedule.pause_s
                 if changes.position < (self._position or START):
-                    self._overtaken(called)
+                    self._log_superseded(response)
                 else:
-                    self._take(changes, called.at, origin="", asked_at=call.asked_at)
+                    self._apply(changes, response.at, origin="", requested_at=request.requested_at)
 
-    def _overtaken(self, called: Called) -> None:
-        log_overtaken(
-            called.result,
-            asked_after=called.call.after,
+    def _log_superseded(self, response: SourceResult) -> None:
+        log_read_superseded(
+            response.result,
+            asked_after=response.request.after,
             after=self._position,
-            asked_at=called.call.asked_at,
+            requested_at=response.request.requested_at,
         )
 
-    def _take(self, changes: Changes, at: float, *, origin: str, asked_at: float) -> None:
+    def _apply(self, changes: Changes, at: float, *, origin: str, requested_at: float) -> None:
         """Take in what the source or a peer told; an empty `origin` stands for the source."""
-        known_at = self._confirmed_at
+        confirmed_at = self._confirmed_at
         config = self._catalogue.config
-        log_reading(
+        log_read(
             changes,
             told_by=origin,
             after=self._position,
             config_held=config.version if config else None,
-            news_at=at,
-            confirmed_at=known_at,
-            asked_at=asked_at,
+            update_confirmed_at=at,
+            confirmed_at=confirmed_at,
+            requested_at=requested_at,
         )
         self._position = changes.position
         self._behind_since = math.inf
         changes = self._reads.apply(changes)
         self._journal.record(changes, at)
-        self._name_peers(changes)
-        changed, unusable = self._catalogue.take(clock.now(), changes, known_at=known_at)
-        self._unusable.report(changes.changes, unusable, full=changes.full and not origin)
+        self._report_peers(changes)
+        changed, invalid = self._catalogue.apply(clock.now(), changes, confirmed_at=confirmed_at)
+        self._invalid_items.report(changes.changes, invalid, full=changes.full and not origin)
         self._publish(changed, origin)
         self._confirm(at, own=not origin)
 
@@ -333,7 +342,7 @@
         self._journal.confirm(at)
         self._events.on_confirmed(self._position, self._confirmed_at, own)
 
-    def _failed(self, error: PlatformError, asked_at: float) -> None:
+    def _failed(self, error: PlatformError, requested_at: float) -> None:
         self._failures += 1
         if self._failures == 1:
             self._audit.record(Kind.PLATFORM, "store", f"cannot be read: {error}")
@@ -342,14 +351,14 @@
             failures=self._failures,
             after=self._position,
             confirmed_at=self._confirmed_at,
-            asked_at=asked_at,
+            requested_at=requested_at,
         )
         pause = min(RETRY_MAX_S, RETRY_MIN_S * 2.0 ** min(8, self._failures - 1))
-        self._rest_until = clock.now() + pause * self._rng.uniform(0.7, 1.3)
+        self._pause_until = clock.now() + pause * self._rng.uniform(0.7, 1.3)
 
-    def _source_away(self, at: float) -> None:
-        self._catalogue.source_away(at)
-        self._journal.source_away(at)
+    def _mark_source_unavailable(self, at: float) -> None:
+        self._catalogue.mark_source_unavailable(at)
+        self._journal.mark_source_unavailable(at)
 
     def _succeeded(self) -> None:
         if self._failures:
--- a/roadpass/unusable.py
+++ b/roadpass/unusable.py
@@ -3,10 +3,10 @@
 from collections.abc import Iterable
 
 from roadpass.audit import AuditTrail, Kind
-from roadpass.source import Change, TargetPublished, TargetWithdrawn, Unusable
+from roadpass.source import Change, InvalidItem, TargetPublished, TargetWithdrawn
 
 
-class UnusableItems:
+class InvalidItemAudit:
     """The items that are left out, by target or key.
 
     Args:
@@ -18,13 +18,13 @@
         self._reasons: dict[str, str] = {}
 
     def report(
-        self, changes: Iterable[Change], unusable: Iterable[Unusable], *, full: bool
+        self, changes: Iterable[Change], invalid: Iterable[InvalidItem], *, full: bool
     ) -> None:
         """Record each item that was not known to make no sense for this reason.
 
         Args:
             changes: What the source told.
-            unusable: Of that, what cannot be used.
+            invalid: Of that, what cannot be used.
             full: Whether the source named all it has.
         """
         known = self._reasons
@@ -38,7 +38,7 @@
                     self._reasons.pop(instance, None)
                 case _:
                     pass
-        for item in unusable:
+        for item in invalid:
             name = item.instance or item.key
             if known.get(name) != item.why:
                 self._audit.record(Kind.REVISION_REFUSED, item.key, item.why)
--- a/tests/test_catalogue.py
+++ b/tests/test_catalogue.py
@@ -6,27 +6,27 @@
 
 from roadpass.caller_limits import CallerLimits
 from roadpass.catalogue import (
-    BORN_KEPT,
-    RETURN_S,
-    WITHDRAWN_KEPT_S,
+    MAX_REMEMBERED_STARTS,
+    REPUBLISH_GRACE_S,
+    WITHDRAWN_GRACE_S,
     Catalogue,
     Policy,
     build_fleet,
 )
 from roadpass.customer import Customer, Customers
 from roadpass.position import Position
-from roadpass.revived import HELD_S, WITHDRAWN_KEPT
+from roadpass.revived import MAX_REMEMBERED_WITHDRAWN, RESTORED_HOLD_S
 from roadpass.route import Part, Route
 from roadpass.source import (
     Change,
     Changes,
     ConfigPublished,
+    InvalidItem,
     PublishedConfig,
     PublishedService,
     TargetEntry,
     TargetPublished,
     TargetWithdrawn,
-    Unusable,
 )
 
 
@@ -50,7 +50,7 @@
     """Return a catalogue with one target of each service, and one of a service nobody knows."""
     catalogue = Catalogue(Policy(0.7, 0.2, 10.0))
     entries = (target("t1"), target("t2", service="b"), target("t3", service="unknown"))
-    assert catalogue.take(0.0, Changes(Position(0, 3), (config(5), *entries), full=True)) == (
+    assert catalogue.apply(0.0, Changes(Position(0, 3), (config(5), *entries), full=True)) == (
         True,
         [],
     )
@@ -72,24 +72,24 @@
 @pytest.mark.parametrize("version", [4, 5])
 def test_a_version_that_is_not_newer_is_not_taken(held: Catalogue, version: int) -> None:
     """Whatever a stale or forgetful source says."""
-    assert held.take(1.0, Changes(Position(0, 4), (config(version),))) == (False, [])
+    assert held.apply(1.0, Changes(Position(0, 4), (config(version),))) == (False, [])
     assert held.fleet().revision == 5
 
 
 def test_a_withdrawn_target_goes_after_a_moment(held: Catalogue) -> None:
     """Not at once, and not later than it must."""
-    held.take(1.0, Changes(Position(0, 4), (TargetWithdrawn("t1"),)))
+    held.apply(1.0, Changes(Position(0, 4), (TargetWithdrawn("t1"),)))
     assert "t1" in held.fleet().targets
-    assert held.next_expiry_s(1.0) == pytest.approx(WITHDRAWN_KEPT_S)
-    assert not held.expire(1.0 + WITHDRAWN_KEPT_S / 2)
-    assert held.expire(1.0 + WITHDRAWN_KEPT_S)
+    assert held.next_expiry_s(1.0) == pytest.approx(WITHDRAWN_GRACE_S)
+    assert not held.expire(1.0 + WITHDRAWN_GRACE_S / 2)
+    assert held.expire(1.0 + WITHDRAWN_GRACE_S)
     assert "t1" not in held.fleet().targets
 
 
 def test_a_target_that_is_back_stays(held: Catalogue) -> None:
     """Its entry had lapsed."""
-    held.take(1.0, Changes(Position(0, 4), (TargetWithdrawn("t1"),)))
-    held.take(1.2, Changes(Position(0, 5), (target("t1"),)))
+    held.apply(1.0, Changes(Position(0, 4), (TargetWithdrawn("t1"),)))
+    held.apply(1.2, Changes(Position(0, 5), (target("t1"),)))
     assert not held.expire(9.0)
     assert "t1" in held.fleet().targets
 
@@ -98,10 +98,10 @@
     held: Catalogue,
 ) -> None:
     """About two seconds after its return."""
-    held.source_away(10.0)
-    held.take(10.1, Changes(Position(0, 9), (config(5), target("t2", service="b")), full=True))
-    assert not held.expire(10.0 + RETURN_S - 0.1)
-    assert held.expire(10.0 + RETURN_S)
+    held.mark_source_unavailable(10.0)
+    held.apply(10.1, Changes(Position(0, 9), (config(5), target("t2", service="b")), full=True))
+    assert not held.expire(10.0 + REPUBLISH_GRACE_S - 0.1)
+    assert held.expire(10.0 + REPUBLISH_GRACE_S)
     assert "t1" not in held.fleet().targets
 
 
@@ -109,14 +109,14 @@
     """Take the first whole reading of a restored source."""
     others = (target("t2", service="b"), target("t3", service="unknown"))
     changes: tuple[Change, ...] = (config(5), *others, *named)
-    held.take(now, Changes(Position(1, revision), changes, full=True))
+    held.apply(now, Changes(Position(1, revision), changes, full=True))
 
 
 @pytest.fixture
 def withdrawn(held: Catalogue) -> Catalogue:
     """Return a catalogue in which a target's entry is gone, and its time over."""
-    held.take(1.0, Changes(Position(0, 4), (TargetWithdrawn("t1"),)))
-    assert held.expire(1.0 + WITHDRAWN_KEPT_S)
+    held.apply(1.0, Changes(Position(0, 4), (TargetWithdrawn("t1"),)))
+    assert held.expire(1.0 + WITHDRAWN_GRACE_S)
     return held
 
 
@@ -126,8 +126,8 @@
     assert "t1" not in withdrawn.targets
     restore(withdrawn, 11.0, target("t1"), revision=4)
     assert "t1" not in withdrawn.targets
-    withdrawn.take(14.0, Changes(Position(1, 5), (TargetWithdrawn("t1"),)))
-    assert not withdrawn.expire(10.0 + HELD_S)
+    withdrawn.apply(14.0, Changes(Position(1, 5), (TargetWithdrawn("t1"),)))
+    assert not withdrawn.expire(10.0 + RESTORED_HOLD_S)
     assert "t1" not in withdrawn.targets
 
 
@@ -135,23 +135,23 @@
     """A later whole reading does not name it."""
     restore(withdrawn, 10.0, target("t1"))
     restore(withdrawn, 12.0, revision=6)
-    assert not withdrawn.expire(10.0 + HELD_S)
+    assert not withdrawn.expire(10.0 + RESTORED_HOLD_S)
     assert "t1" not in withdrawn.targets
 
 
 def test_a_target_that_writes_its_entry_again_is_back_at_once(withdrawn: Catalogue) -> None:
     """Only a backup is no proof that it lives."""
     restore(withdrawn, 10.0, target("t1"))
-    assert withdrawn.take(10.5, Changes(Position(1, 4), (target("t1"),))) == (True, [])
+    assert withdrawn.apply(10.5, Changes(Position(1, 4), (target("t1"),))) == (True, [])
     assert "t1" in withdrawn.targets
 
 
 def test_an_entry_that_does_not_lapse_is_taken(withdrawn: Catalogue) -> None:
     """Its target keeps it, and was withdrawn only as it could not reach the source."""
     restore(withdrawn, 10.0, target("t1"))
-    assert withdrawn.next_expiry_s(10.0) == pytest.approx(HELD_S)
-    assert not withdrawn.expire(10.0 + HELD_S / 2.0)
-    assert withdrawn.expire(10.0 + HELD_S)
+    assert withdrawn.next_expiry_s(10.0) == pytest.approx(RESTORED_HOLD_S)
+    assert not withdrawn.expire(10.0 + RESTORED_HOLD_S / 2.0)
+    assert withdrawn.expire(10.0 + RESTORED_HOLD_S)
     assert "t1" in withdrawn.targets
 
 
@@ -160,8 +160,8 @@
     restore(held, 1.0)
     assert "t1" in held.targets
     changes = (config(5), target("t1"), target("t2", service="b"))
-    held.take(2.0, Changes(Position(2, 3), changes, full=True))
-    held.expire(2.0 + RETURN_S)
+    held.apply(2.0, Changes(Position(2, 3), changes, full=True))
+    held.expire(2.0 + REPUBLISH_GRACE_S)
     assert "t1" in held.targets
 
 
@@ -175,17 +175,17 @@
 def test_an_entry_that_is_back_without_a_restoration_is_taken(withdrawn: Catalogue) -> None:
     """It had lapsed; a whole reading in the same era is of now."""
     changes = (config(5), target("t1"), target("t2", service="b"))
-    withdrawn.take(10.0, Changes(Position(0, 9), changes, full=True))
+    withdrawn.apply(10.0, Changes(Position(0, 9), changes, full=True))
     assert "t1" in withdrawn.targets
 
 
 def test_the_withdrawn_starts_that_are_remembered_are_bounded() -> None:
     """The latest are kept."""
     catalogue = Catalogue(Policy())
-    entries = tuple(target(f"t{n}") for n in (0, *range(9, WITHDRAWN_KEPT + 9)))
-    catalogue.take(0.0, Changes(Position(0, 3), (config(5), *entries), full=True))
+    entries = tuple(target(f"t{n}") for n in (0, *range(9, MAX_REMEMBERED_WITHDRAWN + 9)))
+    catalogue.apply(0.0, Changes(Position(0, 3), (config(5), *entries), full=True))
     gone = tuple(TargetWithdrawn(entry.entry.instance) for entry in entries)
-    catalogue.take(1.0, Changes(Position(0, 4), gone))
+    catalogue.apply(1.0, Changes(Position(0, 4), gone))
     catalogue.expire(9.0)
     restore(catalogue, 10.0, target("t0"), entries[-1])
     assert set(catalogue.targets) == {"t0", "t2", "t3"}
@@ -193,40 +193,42 @@
 
 def test_a_leaving_target_is_leaving_at_once(held: Catalogue) -> None:
     """What it says itself needs no time."""
-    assert held.take(1.0, Changes(Position(0, 4), (target("t1", leaving=True),))) == (True, [])
+    assert held.apply(1.0, Changes(Position(0, 4), (target("t1", leaving=True),))) == (True, [])
     assert held.fleet().targets["t1"].leaving
 
 
 @pytest.mark.parametrize("full", [False, True])
 def test_an_entry_that_makes_no_sense_names_no_target(held: Catalogue, full: bool) -> None:
     """Whoever wrote it: its target goes as if the entry were gone, and the others hold."""
-    bad = Unusable("servers/t1", "nonsense", "t1")
+    bad = InvalidItem("servers/t1", "nonsense", "t1")
     others = (target("t2", service="b"), target("t3", service="unknown"))
-    changed, unusable = held.take(1.0, Changes(Position(0, 4), (bad, *others), full=full))
-    assert (changed, unusable) == (False, [bad])
-    assert held.expire(1.0 + WITHDRAWN_KEPT_S)
+    changed, invalid = held.apply(1.0, Changes(Position(0, 4), (bad, *others), full=full))
+    assert (changed, invalid) == (False, [bad])
+    assert held.expire(1.0 + WITHDRAWN_GRACE_S)
     assert set(held.targets) == {"t2", "t3"}
 
 
 def test_a_target_whose_entry_can_be_read_again_is_back(held: Catalogue) -> None:
     """It writes its entry anew with every heartbeat, whatever somebody else wrote there."""
-    held.take(1.0, Changes(Position(0, 4), (Unusable("servers/t1", "nonsense", "t1"),)))
-    held.take(1.2, Changes(Position(0, 5), (target("t1"),)))
+    held.apply(1.0, Changes(Position(0, 4), (InvalidItem("servers/t1", "nonsense", "t1"),)))
+    held.apply(1.2, Changes(Position(0, 5), (target("t1"),)))
     assert not held.expire(9.0)
     assert "t1" in held.targets
 
 
 def test_an_item_without_a_readable_key_concerns_no_target(held: Catalogue) -> None:
     """A key that only ends like an id is none of it."""
-    held.take(1.0, Changes(Position(0, 4), (Unusable("", "no key"), Unusable("other/t1", "noise"))))
+    held.apply(
+        1.0, Changes(Position(0, 4), (InvalidItem("", "no key"), InvalidItem("other/t1", "noise")))
+    )
     assert not held.expire(9.0)
     assert set(held.targets) == {"t1", "t2", "t3"}
 
 
 def test_a_later_start_under_the_same_id_is_another_target(held: Catalogue) -> None:
     """All that was known of the earlier one is held under its own name."""
-    held.take(1.0, Changes(Position(0, 4), (target("t1", born=7),)))
-    held.take(2.0, Changes(Position(0, 5), (target("t1", born=9),)))
+    held.apply(1.0, Changes(Position(0, 4), (target("t1", born=7),)))
+    held.apply(2.0, Changes(Position(0, 5), (target("t1", born=9),)))
     fleet = held.fleet()
     assert {"t1@9", "t2"} == set(fleet.targets)
     assert fleet.targets["t1@9"].instance == "t1"
@@ -238,39 +240,39 @@
     held: Catalogue, full: bool, withdrawn: bool
 ) -> None:
     """From a peer, a stale reading or after a lost history; also once the later one is gone."""
-    held.take(1.0, Changes(Position(0, 4), (target("t1", born=9),)))
+    held.apply(1.0, Changes(Position(0, 4), (target("t1", born=9),)))
     if withdrawn:
-        held.take(2.0, Changes(Position(0, 5), (TargetWithdrawn("t1"),)))
-        assert held.expire(2.0 + WITHDRAWN_KEPT_S)
+        held.apply(2.0, Changes(Position(0, 5), (TargetWithdrawn("t1"),)))
+        assert held.expire(2.0 + WITHDRAWN_GRACE_S)
     for born in (7, 8):
         old = target("t1", born=born)
-        held.take(4.0, Changes(Position(0, 6), (old, target("t2", service="b")), full=full))
+        held.apply(4.0, Changes(Position(0, 6), (old, target("t2", service="b")), full=full))
         held.expire(9.0)
         assert set(held.fleet().targets) == ({"t2"} if withdrawn else {"t1@9", "t2"})
 
 
 def test_an_entry_that_tells_no_start_is_neither_newer_nor_older(held: Catalogue) -> None:
     """It is of the start that is known, what else it says counts, and it comes after one gone."""
-    held.take(1.0, Changes(Position(0, 4), (target("t1", born=9),)))
-    held.take(2.0, Changes(Position(0, 5), (target("t1", leaving=True),)))
+    held.apply(1.0, Changes(Position(0, 4), (target("t1", born=9),)))
+    held.apply(2.0, Changes(Position(0, 5), (target("t1", leaving=True),)))
     assert held.fleet().targets["t1@9"].leaving
-    held.take(3.0, Changes(Position(0, 6), (TargetWithdrawn("t1"),)))
-    assert held.expire(3.0 + WITHDRAWN_KEPT_S)
-    held.take(4.0, Changes(Position(0, 7), (target("t1"),)))
+    held.apply(3.0, Changes(Position(0, 6), (TargetWithdrawn("t1"),)))
+    assert held.expire(3.0 + WITHDRAWN_GRACE_S)
+    held.apply(4.0, Changes(Position(0, 7), (target("t1"),)))
     assert set(held.fleet().targets) == {"t1", "t2"}
-    held.take(5.0, Changes(Position(0, 8), (target("t1", born=11),)))
+    held.apply(5.0, Changes(Position(0, 8), (target("t1", born=11),)))
     assert set(held.fleet().targets) == {"t1@11", "t2"}
 
 
 def test_the_starts_that_are_remembered_are_bounded() -> None:
     """The latest are kept: what is heard late is heard soon after."""
     catalogue = Catalogue(Policy())
-    entries = tuple(target(f"t{n}", born=5) for n in range(BORN_KEPT + 1))
-    catalogue.take(0.0, Changes(Position(0, 3), (config(5), *entries), full=True))
-    catalogue.take(1.0, Changes(Position(0, 4), (config(6),), full=True))
+    entries = tuple(target(f"t{n}", born=5) for n in range(MAX_REMEMBERED_STARTS + 1))
+    catalogue.apply(0.0, Changes(Position(0, 3), (config(5), *entries), full=True))
+    catalogue.apply(1.0, Changes(Position(0, 4), (config(6),), full=True))
     catalogue.expire(9.0)
-    late = tuple(target(f"t{n}", born=4) for n in (0, BORN_KEPT))
-    catalogue.take(10.0, Changes(Position(0, 5), late))
+    late = tuple(target(f"t{n}", born=4) for n in (0, MAX_REMEMBERED_STARTS))
+    catalogue.apply(10.0, Changes(Position(0, 5), late))
     assert set(catalogue.targets) == {"t0"}
 
 
@@ -281,7 +283,7 @@
         TargetPublished(TargetEntry(f"t{n}", "a", f"10.0.0.{n}:80", "h", 4, leaving=False))
         for n in range(12)
     ]
-    catalogue.take(0.0, Changes(Position(0, 3), (config(5), *entries), full=True))
+    catalogue.apply(0.0, Changes(Position(0, 3), (config(5), *entries), full=True))
     service = catalogue.fleet().services["a"]
     assert service.retry_window_s == 10.0
     in_window = 12 * service.target_repeats
@@ -292,7 +294,7 @@
 def test_the_operators_weight_of_bytes_between_data_halls_holds_for_every_service() -> None:
     """It is a setting of the store's nodes, as prices differ."""
     catalogue = Catalogue(Policy(far_loss_per_kb=0.02))
-    catalogue.take(0.0, Changes(Position(0, 3), (config(5), target("t1")), full=True))
+    catalogue.apply(0.0, Changes(Position(0, 3), (config(5), target("t1")), full=True))
     assert {service.far_loss_per_kb for service in catalogue.fleet().services.values()} == {0.02}
 
 
--- a/tests/test_decode.py
+++ b/tests/test_decode.py
@@ -11,7 +11,7 @@
 from roadpass.customer import Credential, Customer
 from roadpass.errors import PlatformError
 from roadpass.platform import decode
-from roadpass.source import Change, TargetPublished, TargetWithdrawn, Unusable
+from roadpass.source import Change, InvalidItem, TargetPublished, TargetWithdrawn
 from stand_ins.store import entry
 
 Value = dict[str, Any]
@@ -86,7 +86,7 @@
     """The version is left out with a reason that shows no key."""
     value = {**value, "Routes": {"Columns": [], "Rows": []}}
     got = written(value, "op/config")
-    assert isinstance(got, Unusable)
+    assert isinstance(got, InvalidItem)
     assert got.why.startswith("The customers make no sense")
     assert SECRET not in got.why
 
@@ -148,7 +148,7 @@
     holder, name = place(value, field)
     del holder[name]
     got = written(value)
-    assert isinstance(got, Unusable)
+    assert isinstance(got, InvalidItem)
     assert (got.key, got.instance) == ("servers/i-1", "i-1")
 
 
@@ -161,7 +161,7 @@
     holder, name = place(value, field)
     holder[name] = cell
     got = written(value)
-    assert isinstance(got, Unusable)
+    assert isinstance(got, InvalidItem)
     assert got.instance == "i-1"
 
 
@@ -184,21 +184,21 @@
 def test_bytes_that_make_no_entry(raw: bytes) -> None:
     """However they are spoilt."""
     got = decode.change(item("servers/i-1", raw))
-    assert isinstance(got, Unusable)
+    assert isinstance(got, InvalidItem)
     assert got.instance == "i-1"
 
 
 @pytest.mark.parametrize("instance", ["a b", "a\r\nX: 1", "é", "x" * 201, "\x7f"])
 def test_an_id_that_no_request_could_name(instance: str) -> None:
     """It would go into a header."""
-    assert isinstance(written(entry("10.0.0.1:80"), f"servers/{instance}"), Unusable)
+    assert isinstance(written(entry("10.0.0.1:80"), f"servers/{instance}"), InvalidItem)
 
 
 @pytest.mark.parametrize("key", [None, 7, ["servers/i-1"], {}, True])
 def test_a_key_that_is_no_text(key: Any) -> None:
     """It concerns no target."""
     got = written(entry("10.0.0.1:80"), key)
-    assert isinstance(got, Unusable)
+    assert isinstance(got, InvalidItem)
     assert got.instance == ""
 
 
@@ -236,7 +236,7 @@
             assert got.service
             assert got.hall
             assert got.born >= 0
-        case Unusable(instance=instance):
+        case InvalidItem(instance=instance):
             assert instance == "i-1"
         case other:
             pytest.fail(f"read as {other!r}")
@@ -245,14 +245,14 @@
 @given(st.binary(max_size=64))
 def test_no_bytes_raise(raw: bytes) -> None:
     """They are read as an entry of the key's target or as none."""
-    assert isinstance(decode.change(item("servers/i-1", raw)), TargetPublished | Unusable)
+    assert isinstance(decode.change(item("servers/i-1", raw)), TargetPublished | InvalidItem)
 
 
 @given(JSON)
 def test_no_item_raises(value: Any) -> None:
     """A page or an event may hold anything."""
     got = decode.change(value)
-    assert got is None or isinstance(got, TargetWithdrawn | Unusable)
+    assert got is None or isinstance(got, TargetWithdrawn | InvalidItem)
 
 
 def test_the_error_of_a_value_is_one_of_the_layer() -> None:
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -5,9 +5,16 @@
 from hypothesis import strategies as st
 
 from roadpass.catalogue import Catalogue, Policy
-from roadpass.journal import KEPT, Journal
+from roadpass.journal import MAX_UPDATES, Journal
 from roadpass.position import Position
-from roadpass.source import Change, Changes, TargetEntry, TargetPublished, TargetWithdrawn, Unusable
+from roadpass.source import (
+    Change,
+    Changes,
+    InvalidItem,
+    TargetEntry,
+    TargetPublished,
+    TargetWithdrawn,
+)
 
 LATER_S = 100.0
 """Seconds after which a withdrawn target is not kept any more."""
@@ -46,14 +53,14 @@
         named = tuple(c for c in changes if isinstance(c, TargetPublished)) if full else changes
         reading = Changes(Position(0, revision), named, full=full)
         journal.record(reading, 0.0)
-        own.take(0.0, reading)
+        own.apply(0.0, reading)
         if index < known:
-            peer.take(0.0, reading)
+            peer.apply(0.0, reading)
             after = revision
     news = journal.since(Position(0, after))
     assert news is not None
     assert news.changes.position == Position(0, revision)
-    peer.take(0.0, news.changes)
+    peer.apply(0.0, news.changes)
     assert held_after(peer) == held_after(own)
 
 
@@ -65,13 +72,13 @@
 def test_who_missed_too_much_is_told_all() -> None:
     """The readings that are kept are bounded."""
     journal = Journal()
-    for revision in range(1, KEPT + 3):
+    for revision in range(1, MAX_UPDATES + 3):
         journal.record(Changes(Position(0, revision), (published(str(revision)),)), 0.0)
     news = journal.since(Position(0, 1))
     assert news is not None
     assert news.changes.full
-    assert len(news.changes.changes) == KEPT + 2
-    later = journal.since(Position(0, KEPT))
+    assert len(news.changes.changes) == MAX_UPDATES + 2
+    later = journal.since(Position(0, MAX_UPDATES))
     assert later is not None
     assert not later.changes.full
     assert len(later.changes.changes) == 2
@@ -96,7 +103,7 @@
     """Neither as it was before, nor as it is now; what else there is they are told."""
     journal = Journal()
     journal.record(Changes(Position(0, 1), (published("a"), published("b")), full=True), 0.0)
-    bad = Unusable("servers/a", "noise", "a")
+    bad = InvalidItem("servers/a", "noise", "a")
     journal.record(Changes(Position(0, 2), (bad, published("b")), full=full), 0.0)
     news = journal.since(Position(0, 0))
     assert news is not None
@@ -108,7 +115,7 @@
     """As a withdrawal: it held the target by the earlier entry."""
     journal = Journal()
     journal.record(Changes(Position(0, 1), (published("a"),), full=True), 0.0)
-    journal.record(Changes(Position(0, 2), (Unusable("servers/a", "noise", "a"),)), 0.0)
+    journal.record(Changes(Position(0, 2), (InvalidItem("servers/a", "noise", "a"),)), 0.0)
     news = journal.since(Position(0, 1))
     assert news is not None
     assert news.to_message(0.0)["withdrawn"] == ["a"]
@@ -120,7 +127,7 @@
     journal.record(Changes(Position(0, 1), (), full=True), 5.0)
     journal.confirm(9.0)
     journal.confirm(7.0)
-    journal.source_away(6.0)
+    journal.mark_source_unavailable(6.0)
     news = journal.since(Position(0, 0))
     assert news is not None
-    assert (news.at, news.away_at) == (9.0, 6.0)
+    assert (news.confirmed_at, news.unavailable_at) == (9.0, 6.0)
--- a/tests/test_monotonic.py
+++ b/tests/test_monotonic.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 
 from roadpass.caller_limits import CallerLimits
-from roadpass.monotonic import LEAVING_KEPT, MonotonicReads
+from roadpass.monotonic import MAX_REMEMBERED_LEAVING, MonotonicReads
 from roadpass.position import Position
 from roadpass.source import (
     Change,
@@ -103,7 +103,10 @@
 def test_the_starts_that_are_remembered_are_bounded() -> None:
     """The latest are kept."""
     reads = MonotonicReads()
-    entries = tuple(target(f"t{n}", leaving=True) for n in range(LEAVING_KEPT + 1))
+    entries = tuple(target(f"t{n}", leaving=True) for n in range(MAX_REMEMBERED_LEAVING + 1))
     reads.apply(Changes(Position(0, 3), entries))
-    late = Changes(Position(1, 1), (target("t0"), target(f"t{LEAVING_KEPT}")))
-    assert reads.apply(late).changes == (target("t0"), target(f"t{LEAVING_KEPT}", leaving=True))
+    late = Changes(Position(1, 1), (target("t0"), target(f"t{MAX_REMEMBERED_LEAVING}")))
+    assert reads.apply(late).changes == (
+        target("t0"),
+        target(f"t{MAX_REMEMBERED_LEAVING}", leaving=True),
+    )
--- a/tests/test_news.py
+++ b/tests/test_news.py
@@ -8,7 +8,7 @@
 from roadpass.customer import Customer, Customers
 from roadpass.errors import FrameError
 from roadpass.message import check
-from roadpass.news import News
+from roadpass.news import SourceUpdate
 from roadpass.packing import pack, unpack
 from roadpass.position import Position
 from roadpass.route import Part, Route
@@ -75,16 +75,18 @@
         *map(TargetPublished, targets),
         *map(TargetWithdrawn, withdrawn),
     )
-    news = News(Changes(Position(2, 7), changes, full=full), 90.0, 80.0)
+    news = SourceUpdate(Changes(Position(2, 7), changes, full=full), 90.0, 80.0)
     written = unpack(pack(news.to_message(100.0)))
-    assert News.from_message(check(written), 100.0) == news
+    assert SourceUpdate.from_message(check(written), 100.0) == news
 
 
 def test_a_node_of_an_earlier_release_is_understood() -> None:
     """It sends no era and reads none; what it holds is of the first era."""
-    message = News(Changes(Position(0, 7), (), full=True), 90.0).to_message(100.0)
+    message = SourceUpdate(Changes(Position(0, 7), (), full=True), 90.0).to_message(100.0)
     assert "era" not in message
-    assert News.from_message(check(unpack(pack(message))), 100.0).changes.position == Position(0, 7)
+    assert SourceUpdate.from_message(
+        check(unpack(pack(message))), 100.0
+    ).changes.position == Position(0, 7)
 
 
 @pytest.mark.parametrize(
@@ -103,4 +105,4 @@
     """Whatever a peer sends in its place."""
     message = {"t": "news", "revision": 1, "age_s": 0.0, "whole": True, "targets": []}
     with pytest.raises(FrameError):
-        News.from_message({**message, "withdrawn": [], "config": data}, 0.0)
+        SourceUpdate.from_message({**message, "withdrawn": [], "config": data}, 0.0)
--- a/tests/test_peer_positions.py
+++ b/tests/test_peer_positions.py
@@ -25,7 +25,7 @@
         holds("vm-2", 7, 2.0),
         holds("vm-3", 3, 9.0),
     ):
-        peers.note(one)
+        peers.record(one)
     assert peers.best(10.0, Position(0, 4)) == holds("vm-2", 7, 2.0)
     assert peers.best(10.0, Position(0, 7)) is None
 
@@ -33,39 +33,39 @@
 def test_who_did_not_answer_is_left_alone_for_a_while() -> None:
     """The next one is asked meanwhile, and none where there is no other."""
     peers = PeerPositions()
-    peers.note(holds("vm-0", 5))
-    peers.note(holds("vm-1", 6))
-    peers.did_not_answer("vm-1", 10.0)
+    peers.record(holds("vm-0", 5))
+    peers.record(holds("vm-1", 6))
+    peers.fetch_failed("vm-1", 10.0)
     assert peers.best(10.0, Position(0, 4)) == holds("vm-0", 5)
-    peers.did_not_answer("vm-0", 10.5)
+    peers.fetch_failed("vm-0", 10.5)
     assert peers.best(10.6, Position(0, 4)) is None
     assert peers.best(10.0 + HOLD_S, Position(0, 4)) == holds("vm-1", 6)
-    peers.did_not_answer("vm-1", 11.0)
+    peers.fetch_failed("vm-1", 11.0)
     assert peers.best(11.0 + HOLD_S, Position(0, 4)) == holds("vm-0", 5)
     assert peers.best(11.0 + 2.0 * HOLD_S, Position(0, 4)) == holds("vm-0", 5), (
         "it was silent less often"
     )
-    peers.answered("vm-0")
+    peers.fetch_succeeded("vm-0")
     assert peers.best(11.0 + 2.0 * HOLD_S, Position(0, 4)) == holds("vm-1", 6)
 
 
 def test_a_near_one_comes_before_a_far_one_unless_it_was_silent() -> None:
     """Where only the own data hall can be reached, its peers are found at once."""
     peers = PeerPositions()
-    peers.note(holds("vm-0", 9, near=False))
-    peers.note(holds("vm-1", 5))
+    peers.record(holds("vm-0", 9, near=False))
+    peers.record(holds("vm-1", 5))
     assert peers.best(0.0, Position(0, 4)) == holds("vm-1", 5)
-    peers.did_not_answer("vm-1", 0.0)
+    peers.fetch_failed("vm-1", 0.0)
     assert peers.best(9.0, Position(0, 4)) == holds("vm-0", 9, near=False)
 
 
 def test_who_answered_is_asked_again_on_a_new_position_only() -> None:
     """Else a peer that holds less than it said would be asked for ever."""
     peers = PeerPositions()
-    peers.note(holds("vm-0", 5))
-    peers.answered("vm-0")
+    peers.record(holds("vm-0", 5))
+    peers.fetch_succeeded("vm-0")
     assert peers.best(0.0, Position(0, 4)) is None
-    peers.note(holds("vm-0", 6))
+    peers.record(holds("vm-0", 6))
     assert peers.best(0.0, Position(0, 4)) == holds("vm-0", 6)
 
 
@@ -94,14 +94,14 @@
         now += step
         if what == "note":
             held[vm] = holds(vm, revision, now)
-            peers.note(held[vm])
+            peers.record(held[vm])
         elif what == "answered":
             held.pop(vm, None)
             answers[vm] = now
-            peers.answered(vm)
+            peers.fetch_succeeded(vm)
         else:
             silent.append((vm, now))
-            peers.did_not_answer(vm, now)
+            peers.fetch_failed(vm, now)
     left_alone = {vm for vm in VMS if naive_hold(vm, silent, answers, now)}
     wanted = [
         w for vm, w in held.items() if vm not in left_alone and w.position > Position(0, beyond)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -19,9 +19,9 @@
 from roadpass.source import (
     ConfigPublished,
     HistoryLostError,
+    InvalidItem,
     TargetPublished,
     TargetWithdrawn,
-    Unusable,
 )
 from stand_ins.store import config, entry
 from tests.store_bench import ROW, Bench
@@ -84,7 +84,7 @@
 )
 def test_an_item_that_makes_no_sense_is_named(item: Any) -> None:
     """It is left out and told, and raises nothing."""
-    assert isinstance(decode.change(item), Unusable)
+    assert isinstance(decode.change(item), InvalidItem)
 
 
 def test_other_items_concern_nobody_here() -> None:
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -15,7 +15,7 @@
 from roadpass.fleet import Fleet
 from roadpass.journal import Journal
 from roadpass.metric import Metrics
-from roadpass.news import News, PeerPosition
+from roadpass.news import PeerPosition, SourceUpdate
 from roadpass.peer import Address
 from roadpass.platform.store import StoreClient
 from roadpass.reading_turn import ReaderRank
@@ -83,7 +83,7 @@
             if own and node is not self:
                 node.reader.tell(self.position)
 
-    def _ask(self, address: Address, after: Any) -> News:
+    def _ask(self, address: Address, after: Any) -> SourceUpdate:
         news = self._hall[address[1]]._journal.since(after)
         if news is None:
             raise StreamError("The peer holds nothing yet.")
--- a/tests/test_revision.py
+++ b/tests/test_revision.py
@@ -13,7 +13,7 @@
 from roadpass.fleet import Fleet
 from roadpass.message import Message
 from roadpass.patch import apply_patch, build_revision_reply, make_patch, read_revision_reply
-from roadpass.revision import DocumentEntry, Held, Manifest
+from roadpass.revision import DocumentEntry, HeldRevision, Manifest
 
 
 def document(size: int = 3, mark: str = "") -> bytes:
@@ -84,16 +84,16 @@
     """A document that is not what the manifest says."""
     content = document()
     with pytest.raises(DocumentError, match="does not match its hash"):
-        Held.nothing().advance(manifest(1, content), [content + b" "])
+        HeldRevision.empty().advance(manifest(1, content), [content + b" "])
     entry = DocumentEntry("d", hashlib.sha256(content).hexdigest(), 7)
     with pytest.raises(DocumentError, match="bytes, not 7"):
-        Held.nothing().advance(Manifest(1, (entry,)), [content])
+        HeldRevision.empty().advance(Manifest(1, (entry,)), [content])
 
 
 def test_peer_gets_a_patch_and_ends_with_the_same_content() -> None:
     """A small change of a large document travels in few bytes."""
     old, new = document(3000, "old"), document(3000, "new")
-    peer, _ = Held.nothing().advance(manifest(1, old), [old])
+    peer, _ = HeldRevision.empty().advance(manifest(1, old), [old])
     server, _ = peer.advance(manifest(2, new), [new])
     have = {e.name: e.hash for e in peer.manifest.documents} if peer.manifest else {}
     message: Message = build_revision_reply(server, have)
@@ -118,7 +118,7 @@
         ],
     }
     try:
-        _, contents = read_revision_reply(Held.nothing(), message)
+        _, contents = read_revision_reply(HeldRevision.empty(), message)
     except DocumentError:
         return
     assert contents == [new]
--- a/tests/test_store_reader.py
+++ b/tests/test_store_reader.py
@@ -26,7 +26,7 @@
 from roadpass.errors import PlatformError, StreamError
 from roadpass.fleet import Fleet
 from roadpass.journal import Journal
-from roadpass.news import ASK_S, News, PeerPosition
+from roadpass.news import FETCH_TIMEOUT_S, PeerPosition, SourceUpdate
 from roadpass.peer import Address
 from roadpass.position import START, Position
 from roadpass.reading_turn import ReaderRank
@@ -105,8 +105,8 @@
         self,
         source: SourceInMemory,
         *,
-        place: int,
-        ask: Callable[[Address, Position], News],
+        rank: int,
+        ask: Callable[[Address, Position], SourceUpdate],
     ) -> None:
         self._source = source
         self._fleets: list[Fleet] = []
@@ -119,7 +119,7 @@
             on_peers=lambda entries: None,
             on_confirmed=lambda revision, at, own: None,
             fetch_update=self._note_question,
-            reader_rank=lambda: ReaderRank(place, len(PEERS)),
+            reader_rank=lambda: ReaderRank(rank, len(PEERS)),
         )
         self._ref: ActorRef[StoreReader] = StoreReader.start(
             source,
@@ -158,7 +158,7 @@
             self._fleets.append(fleet)
             self._changed.notify_all()
 
-    def _note_question(self, address: Address, after: Position) -> News:
+    def _note_question(self, address: Address, after: Position) -> SourceUpdate:
         self.asked.append(address[0])
         return self._ask(address, after)
 
@@ -171,9 +171,9 @@
             turn += 1
 
 
-def cut_off(_: Address, __: Position) -> News:
+def cut_off(_: Address, __: Position) -> SourceUpdate:
     """Stand for a peer to which no packet gets: a question to it lasts as long as it may."""
-    time.sleep(ASK_S)
+    time.sleep(FETCH_TIMEOUT_S)
     raise StreamError("No connection: timed out.")
 
 
@@ -197,7 +197,7 @@
     """The revision before and after, the configuration in it, its age, and how long it took."""
     caplog.set_level(logging.INFO, "roadpass.reader")
     source = SourceInMemory()
-    reading = started(source, place=0, ask=cut_off)
+    reading = started(source, rank=0, ask=cut_off)
     reading.wait_for(1, LIMIT_S)
     source.publish()
     reading.wait_for(2, LIMIT_S)
@@ -210,13 +210,13 @@
     assert 0.0 <= told[0]["took_s"] <= BOUND_S
 
 
-@pytest.mark.parametrize("place", [0, 1, 5])
+@pytest.mark.parametrize("rank", [0, 1, 5])
 def test_words_of_peers_that_are_cut_off_hold_up_no_reading(
-    started: Callable[..., Reading], place: int
+    started: Callable[..., Reading], rank: int
 ) -> None:
     """A node that hears peers and reaches none of them reads the source itself, in time."""
     source = SourceInMemory()
-    reading = started(source, place=place, ask=cut_off)
+    reading = started(source, rank=rank, ask=cut_off)
     reading.wait_for(1, LIMIT_S)
     reading.hear(PEERS)
     source.away = True
@@ -233,11 +233,11 @@
 ) -> None:
     """One of eight is enough for a node to which the source is away."""
 
-    def ask(address: Address, _: Position) -> News:
+    def ask(address: Address, _: Position) -> SourceUpdate:
         return full_update(source.version) if address[0] == PEERS[-1] else cut_off(address, START)
 
     source = SourceInMemory()
-    reading = started(source, place=1, ask=ask)
+    reading = started(source, rank=1, ask=ask)
     reading.wait_for(1, LIMIT_S)
     source.away = True
     reading.hear(PEERS)
@@ -250,7 +250,7 @@
     """However fresh it says that is: this node reads the source when nobody else confirms it."""
     source = SourceInMemory()
     source.version = 3
-    reading = started(source, place=5, ask=cut_off)
+    reading = started(source, rank=5, ask=cut_off)
     reading.wait_for(3, LIMIT_S)
     reading.hear(PEERS[:1], revision=2)
     for _ in range(2):
@@ -262,7 +262,7 @@
 ) -> None:
     """Left alone for a second, it takes a third of the reader's time at the most."""
     source = SourceInMemory()
-    reading = started(source, place=1, ask=cut_off)
+    reading = started(source, rank=1, ask=cut_off)
     reading.wait_for(1, LIMIT_S)
     source.away = True
     source.publish()
@@ -271,19 +271,19 @@
     assert 1 <= len(reading.asked) <= 3
 
 
-def full_update(version: int) -> News:
+def full_update(version: int) -> SourceUpdate:
     """Return what a peer tells that holds a version."""
     found = ConfigPublished(config(version))
-    return News(Changes(Position(0, version), (found,), full=True), clock.now())
+    return SourceUpdate(Changes(Position(0, version), (found,), full=True), clock.now())
 
 
-@pytest.mark.parametrize("place", [0, 1])
+@pytest.mark.parametrize("rank", [0, 1])
 def test_a_call_that_hangs_holds_up_no_news_of_peers(
-    started: Callable[..., Reading], place: int
+    started: Callable[..., Reading], rank: int
 ) -> None:
     """Whoever waits for the source hears, asks and puts in force what peers tell meanwhile."""
     source = SourceInMemory()
-    reading = started(source, place=place, ask=lambda _, __: full_update(source.version))
+    reading = started(source, rank=rank, ask=lambda _, __: full_update(source.version))
     reading.wait_for(1, LIMIT_S)
     reading.hear(PEERS)
     source.away, source.silence_s = True, 2.0
@@ -298,7 +298,7 @@
     """The call went out from an older revision; the newer one is gone on from."""
     caplog.set_level(logging.INFO, "roadpass.reader")
     source = SourceInMemory()
-    reading = started(source, place=0, ask=lambda _, __: full_update(source.version))
+    reading = started(source, rank=0, ask=lambda _, __: full_update(source.version))
     reading.wait_for(1, LIMIT_S)
     source.lost, source.silence_s = [1], 1.5
     time.sleep(1.0)
@@ -320,7 +320,7 @@
     source = SourceInMemory()
     unforeseen = [RuntimeError("a call"), RuntimeError("a question")]
 
-    def ask(_: Address, __: Position) -> News:
+    def ask(_: Address, __: Position) -> SourceUpdate:
         if unforeseen:
             raise unforeseen.pop()
         return full_update(source.version)
@@ -330,7 +330,7 @@
             raise unforeseen.pop()
         raise PlatformError("Nobody answers.")
 
-    reading = started(source, place=0, ask=ask)
+    reading = started(source, rank=0, ask=ask)
     reading.wait_for(1, LIMIT_S)
     monkeypatch.setattr(source, "watch", watch)
     reading.hear(PEERS)
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -7,15 +7,15 @@
     Mechanism(
         "a question to a peer makes the reader wait for nothing",
         "roadpass/store_reader.py",
-        "self._asker.tell(self._asking)",
-        "self._asker.ask(self._asking)",
+        "self._peer_fetcher.tell(self._peer_request)",
+        "self._peer_fetcher.ask(self._peer_request)",
         "tests/test_store_reader.py",
     ),
     Mechanism(
         "a call to the source makes the reader wait for nothing",
         "roadpass/store_reader.py",
-        "self._caller.tell(self._calling)",
-        "self._caller.ask(self._calling)",
+        "self._source_fetcher.tell(self._source_request)",
+        "self._source_fetcher.ask(self._source_request)",
         "tests/test_store_reader.py",
     ),
     Mechanism(
@@ -42,9 +42,9 @@
     Mechanism(
         "a lost history is no outage",
         "roadpass/store_reader.py",
-        "self._position = None\n                self._failed(error, call.asked_at)",
-        "self._position = None\n                self._source_away(clock.now())\n"
-        "                self._failed(error, call.asked_at)",
+        "self._position = None\n                self._failed(error, request.requested_at)",
+        "self._position = None\n                self._mark_source_unavailable(clock.now())\n"
+        "                self._failed(error, request.requested_at)",
         "tests/test_platform_reader.py",
     ),
     Mechanism(
@@ -57,7 +57,7 @@
     Mechanism(
         "a withdrawn entry that a backup brings back is held",
         "roadpass/catalogue.py",
-        "if not self._revived.hold(now, entry, restored=restored, full=changes.full):",
+        "if not self._restored.hold(now, entry, restored=restored, full=changes.full):",
         "if True:",
         "tests/test_restored_store.py",
     ),
@@ -78,7 +78,7 @@
     Mechanism(
         "peers that do not answer are left alone by the puller",
         "roadpass/reader.py",
-        "if self._unanswered.holds(news.address, now):",
+        "if self._unanswered.holds(announcement.address, now):",
         "if False:",
         "tests/test_reader.py",
     ),
@@ -92,7 +92,7 @@
     Mechanism(
         "a call to the store is bounded as a whole",
         "roadpass/platform/store.py",
-        "if clock.now() > until:",
+        "if clock.now() > deadline:",
         "if False:",
         "tests/test_platform.py",
     ),
