--- a/roadpass/peer_asker.py
+++ b/roadpass/peer_asker.py
@@ -1,4 +1,4 @@
-"""Questions to peers, asked by an actor of their own: whoever has one does not wait for it."""
+"""Fetches source updates from peers in a separate actor, so that the reader is never blocked."""
 
 import logging
 from collections.abc import Callable
@@ -17,12 +17,12 @@
 
 
 class PeerRequest(NamedTuple):
-    """One question: what came after a position.
+    """Request for everything after a position.
 
     Args:
-        peer: Who is asked.
-        after: The position; `START` for all there is.
-        requested_at: Clock seconds at which it was wanted.
+        peer: The peer to ask.
+        after: The position; `START` for a full snapshot.
+        requested_at: Clock seconds at which the request was made.
     """
 
     peer: PeerPosition
@@ -31,12 +31,12 @@
 
 
 class PeerResult(NamedTuple):
-    """What came of a question.
+    """Outcome of a request.
 
     Args:
-        request: The question.
-        result: The peer's news, or why there are none.
-        at: Clock seconds at which it was over.
+        request: The request.
+        result: The peer's update, or the error that prevented it.
+        at: Clock seconds at which the request ended.
     """
 
     request: PeerRequest
@@ -45,11 +45,11 @@
 
 
 class PeerFetcher(Actor):
-    """Asks one question after the other, and tells what came of each.
+    """Processes requests one at a time and sends each result to the reader.
 
     Args:
-        request: Asks a peer for what came after a position; may raise `StreamError`.
-        reader: Whom to tell.
+        fetch: Fetches what came after a position from a peer; may raise `StreamError`.
+        reader: The actor that receives the results.
     """
 
     def __init__(
@@ -73,11 +73,11 @@
         except StreamError as error:
             return error
         except Exception as error:
-            _log.exception("a question to %s failed in a way that nobody foresaw", request.peer.vm)
-            return StreamError(f"The question failed: {error!r}.")
+            _log.exception("unexpected error in a request to %s", request.peer.vm)
+            return StreamError(f"The request failed: {error!r}.")
 
     def _report(self, response: PeerResult) -> None:
         try:
             self._reader.tell(response)
         except pykka.ActorDeadError:
-            _log.info("nobody waits for the answer of %s any more", response.request.peer.vm)
+            _log.info("reader has stopped; result from %s dropped", response.request.peer.vm)
--- a/roadpass/reading_log.py
+++ b/roadpass/reading_log.py
@@ -1,4 +1,4 @@
-"""The lines of a source's reader: what it asked for, whom, what came and how long it took."""
+"""Log lines of a source's reader: what it requested, from whom, the result and the duration."""
 
 import math
 from typing import Any
@@ -23,16 +23,16 @@
     confirmed_at: float,
     requested_at: float,
 ) -> None:
-    """Log what was asked for and what came, so that a change that was never told shows.
+    """Log one update, so that the logs show a change that the source or a peer left out.
 
     Args:
-        changes: What came.
-        told_by: The peer, empty for the source.
-        after: The position held before.
-        config_held: The version of the configuration held before.
-        update_confirmed_at: Clock seconds as of which the source had nothing newer,
-        confirmed_at: the same for what was held before.
-        requested_at: Clock seconds at which it was asked.
+        changes: The update.
+        told_by: The peer that sent it, empty for the source.
+        after: This node's position before the update.
+        config_held: Version of this node's configuration before the update.
+        update_confirmed_at: Clock seconds at which the source had nothing newer than the update.
+        confirmed_at: The same for the state before the update.
+        requested_at: Clock seconds at which the update was requested.
     """
     configs = [c.config for c in changes.changes if isinstance(c, ConfigPublished)]
     decided(
@@ -59,7 +59,7 @@
     confirmed_at: float,
     requested_at: float,
 ) -> None:
-    """Log a call to the source that failed; arguments as above, `failures` are those in a row."""
+    """Log a failed call; arguments as for `log_read`, `failures` counts consecutive failures."""
     decided(
         PART,
         "store-failed",
@@ -78,7 +78,7 @@
     after: Position | None,
     requested_at: float,
 ) -> None:
-    """Log what a call brought too late: peers had told more than it could before it was over."""
+    """Log the result of a call that is not used, as peers sent more while it was in flight."""
     decided(
         PART,
         "reading-overtaken",
@@ -93,7 +93,7 @@
 def log_peer_failed(
     peer: PeerPosition, error: StreamError, *, after: Position | None, requested_at: float
 ) -> None:
-    """Log a question to a peer that it did not answer; arguments as above."""
+    """Log a request that a peer did not answer; arguments as for `log_read`."""
     decided(
         PART,
         "peer-failed",
@@ -107,7 +107,7 @@
 
 
 def log_peer_behind(peer: PeerPosition, *, held: Position) -> None:
-    """Log that a peer holds less than this node and takes that for the newest."""
+    """Log that a peer is behind this node although it considers itself up to date."""
     decided(
         PART,
         "peer-behind",
@@ -119,7 +119,7 @@
 
 
 def logged(position: Position | None, name: str) -> dict[str, Any]:
-    """Return a position's revision by a name, and its era where the source has one."""
+    """Return log fields for a position: its revision and, if the source has one, its era."""
     if position is None:
         return {name: None}
     era = {f"{name}_era": position.era} if position.era else {}
@@ -127,5 +127,5 @@
 
 
 def _age_s(at: float) -> float | None:
-    """Return how long ago a moment was, `None` if it never came."""
+    """Return the seconds since a time, `None` if it is infinite: the event never happened."""
     return None if math.isinf(at) else round(clock.now() - at, 3)
--- a/roadpass/reading_turn.py
+++ b/roadpass/reading_turn.py
@@ -1,41 +1,42 @@
-"""Whose turn it is to read a source: few nodes of a data hall read, the others hear it from them.
+"""Decides when a node reads the source itself instead of learning of changes from its peers.
 
-The first node of a data hall, by an order that all agree on, always reads. Each further one reads
-only when nobody has told it for a while that the source has nothing newer: that a reader is cut
-off, frozen or gone then costs one call of the next in the order, and what the source took is in
-force in time all the same. No node needs to know why it heard nothing.
+All nodes of a data hall agree on an order. The first one always reads the source. Each later one
+reads only if no peer has confirmed for some time that the source has nothing newer. A reader that
+is cut off, frozen or gone therefore costs one call by the next node in the order, and a change is
+still in force in time. No node needs to know why the confirmations stopped.
 """
 
 from typing import NamedTuple
 
 TAKEOVER_SHARE = 0.62
-"""Share of the bound after which the second in the order reads: a call, also one of a slow source,
-and a lost datagram fit into what is left."""
+"""Base of the age of the last confirmation, as a share of the bound, at which a node takes over
+reading. The rest of the bound has room for one call, even to a slow source, and a lost datagram."""
 TAKEOVER_STEP_SHARE = 0.035
-"""Share of the bound that each further one waits longer: time for a call and for its word, which
-spares the next one's call."""
+"""Share of the bound added for each place in the order: time for a call and for the confirmation
+that follows from it, which makes the next node's call unnecessary."""
 MAX_STEPS = 5
-"""From this place in the order on all wait alike, but for chance."""
+"""Nodes beyond this place in the order all wait equally long, apart from the jitter."""
 JITTER_SHARE = 0.05
-"""Share of the bound over which those are spread."""
+"""Share of the bound over which the reads of those nodes are spread."""
 MAX_READ_SHARE = 0.4
-"""Share of the bound that one reading lasts at most; with it the word that nothing changed is
-always younger than the patience of the second, even if one datagram in a row is late."""
+"""Longest read, as a share of the bound. It keeps confirmations more frequent than the takeover age
+of the second node, even if one datagram is late."""
 PAUSE_SHARE = 0.25
-"""Share of the bound to rest after changes, so that one call brings several."""
+"""Pause after a read with changes, as a share of the bound, so that one call returns several."""
 MIN_WATCH_S = 0.01
-"""Seconds that a reading waits at least, where an answer is wanted at once."""
+"""Shortest wait of a watch in seconds, used when a reply is needed at once."""
 FIRST_REPLY_WAIT_S = 0.1
-"""Seconds that a node which knows peers but holds nothing waits for their word: many times what one
-takes, and short, since after a loss of all nodes there is nobody to give it."""
+"""Seconds that a node without data waits for its known peers before it reads the source. This is
+many times what a peer's message takes, but short, since no peer has data after all nodes were
+lost."""
 
 
 class ReaderRank(NamedTuple):
-    """Where a node stands in its data hall.
+    """A node's place among the readers of its data hall.
 
     Args:
         rank: In the order of readers, 0 for the first.
-        peers: How many other nodes it knows.
+        peers: Number of other nodes that it knows.
     """
 
     rank: int = 0
@@ -43,11 +44,11 @@
 
 
 class ReadSchedule:
-    """Decides when one node reads; pure.
+    """Decides when one node reads; has no side effects.
 
     Args:
-        bound_s: Seconds within which what the source took must be in force here.
-        jitter: From 0 to 1, this node's own.
+        bound_s: Seconds within which a change in the source must be in force on this node.
+        jitter: From 0 to 1; differs between nodes.
     """
 
     def __init__(self, bound_s: float, jitter: float) -> None:
@@ -56,11 +57,11 @@
 
     @property
     def pause_s(self) -> float:
-        """Seconds to rest after changes."""
+        """Seconds to pause after a read that returned changes."""
         return PAUSE_SHARE * self._bound_s
 
     def takeover_age_s(self, reader_rank: ReaderRank) -> float:
-        """Return how old the word that nothing is newer may be before this node reads."""
+        """Return the age in seconds of the last confirmation at which this node reads itself."""
         if reader_rank.rank == 0:
             return 0.0
         late = JITTER_SHARE * self._jitter if reader_rank.rank > MAX_STEPS else 0.0
@@ -68,14 +69,14 @@
         return (TAKEOVER_SHARE + TAKEOVER_STEP_SHARE * steps + late) * self._bound_s
 
     def is_due(self, reader_rank: ReaderRank, age_s: float) -> bool:
-        """Tell whether to read now.
+        """Return whether this node is to read now.
 
         Args:
             reader_rank: Of this node.
-            age_s: Age of the word that nothing is newer.
+            age_s: Seconds since the source was last confirmed to have nothing newer.
         """
         return age_s >= self.takeover_age_s(reader_rank)
 
     def wait_s(self, age_s: float) -> float:
-        """Return how long the reading may wait for changes: the staler the word, the shorter."""
+        """Return how long a read may wait for changes: shorter if the last confirmation is old."""
         return max(MIN_WATCH_S, MAX_READ_SHARE * self._bound_s - age_s)
--- a/roadpass/source_caller.py
+++ b/roadpass/source_caller.py
@@ -1,4 +1,4 @@
-"""Calls to a source, made by an actor of their own: whoever wants one does not wait for it."""
+"""Calls the source in a separate actor, so that the reader is never blocked by a slow call."""
 
 import logging
 from typing import Any, NamedTuple
@@ -15,12 +15,12 @@
 
 
 class SourceRequest(NamedTuple):
-    """One reading.
+    """Request for one read of the source.
 
     Args:
-        after: The position to go on from, `None` for all there is.
+        after: The position to continue from, `None` for a full snapshot.
         wait_s: Seconds to wait for changes.
-        requested_at: Clock seconds at which it was wanted.
+        requested_at: Clock seconds at which the request was made.
     """
 
     after: Position | None
@@ -29,12 +29,12 @@
 
 
 class SourceResult(NamedTuple):
-    """What came of a reading.
+    """Outcome of a read.
 
     Args:
-        request: The reading.
-        result: What it brought, or why nothing.
-        at: Clock seconds at which it was over.
+        request: The request.
+        result: The changes, or the error that prevented them.
+        at: Clock seconds at which the read ended.
     """
 
     request: SourceRequest
@@ -43,11 +43,11 @@
 
 
 class SourceFetcher(Actor):
-    """Makes one call after the other, and tells what came of each.
+    """Makes one call at a time and sends each result to the reader.
 
     Args:
-        source: To read from; a call takes as long as it pleases.
-        reader: Whom to tell.
+        source: The source to read; its calls may block for any length of time.
+        reader: The actor that receives the results.
     """
 
     def __init__(self, source: Source, reader: "pykka.ActorRef[Any]") -> None:
@@ -71,11 +71,11 @@
         except PlatformError as error:
             return error
         except Exception as error:
-            _log.exception("a call to the source failed in a way that nobody foresaw")
+            _log.exception("unexpected error in a call to the source")
             return PlatformError(f"The call failed: {error!r}.")
 
     def _report(self, response: SourceResult) -> None:
         try:
             self._reader.tell(response)
         except pykka.ActorDeadError:
-            _log.info("nobody waits for the source any more")
+            _log.info("reader has stopped; result from the source dropped")
--- a/roadpass/store_reader.py
+++ b/roadpass/store_reader.py
@@ -1,14 +1,14 @@
-"""The reader of a source: an actor that reads it or hears of it, and hands over the fleet.
+"""The reader of a source: an actor that follows the source and publishes the fleet built from it.
 
-It reads the source itself when it is this node's turn (`reading_turn`). Otherwise peers tell by
-datagram up to which position they hold the source and how fresh that is; what this node lacks it
-asks of them over a stream.
+It reads the source itself when its schedule says so (`reading_turn`). Otherwise it relies on its
+peers: each announces by datagram which position of the source it has reached and when that was last
+confirmed, and the reader fetches what it lacks from them over a stream.
 
-A question to a peer that cannot be reached takes longer than the next datagrams take to come, and a
-call to a source that is away takes seconds. So no message makes this actor wait: two actors of its
-own make the calls (`source_caller`) and ask the questions (`peer_asker`), one at a time each. The
-newest position of each peer is kept beside the queue, and who did not answer is left alone for a
-while: else the node's own look at the source would wait behind questions that nobody answers.
+A request to an unreachable peer takes longer than the interval between datagrams, and a call to an
+unavailable source takes seconds. No message may therefore block this actor: two other actors make
+the calls to the source (`source_caller`) and to peers (`peer_asker`), one at a time each. The
+newest position of each peer is stored outside the message queue, and a peer that did not answer is
+skipped for a while. Otherwise the node's own reads would wait behind requests that time out.
 """
 
 import logging
@@ -53,33 +53,35 @@
 from roadpass.unusable import InvalidItemAudit
 
 TICK_S = 0.1
-"""Seconds between looks at whether it is this node's turn."""
+"""Seconds between checks whether a read is due."""
 RETRY_MIN_S = 0.15
 RETRY_MAX_S = 0.8
-"""Seconds to pause after a failed call, doubled up to the latter: bounds run while the source is
-away."""
+"""Back-off in seconds after a failed call, doubled up to the maximum. It is short, since changes
+have to be in force within a bound that also runs while the source is unavailable."""
 SOURCE_GRACE_S = 0.25
-"""Seconds from hearing that there is more until peers are asked although a call is under way: it
-tells the same before that, also with a slow source, unless it hangs."""
+"""Seconds to wait for a call in flight, once a peer has announced more, before peers are asked. The
+call returns the same changes within that time, even from a slow source, unless it hangs."""
 DEFAULT_BOUND_S = 2.0
 
 _log = logging.getLogger("roadpass.reader")
 
 
 class Tick(NamedTuple):
-    """Time passes."""
+    """Sent by the ticker so that the reader does what is due."""
 
 
 class StoreEvents(NamedTuple):
-    """What the reader calls; none of them may block.
+    """Callbacks of the reader; none of them may block.
 
     Args:
-        on_fleet: Another fleet is in force; with the configuration it comes from.
-        on_peers: Targets beside which there are, or were a while ago, other nodes.
-        on_confirmed: The source had nothing newer than a position at a moment, in monotonic
-            seconds; and whether this node read that itself, so that others want to hear of it.
-        fetch_update: Asks a peer for what came after a position; may raise `StreamError`.
-        reader_rank: Returns where this node stands among the readers.
+        on_fleet: Called with each new fleet and the configuration that it was built from.
+        on_peers: Called with targets that share their VM with a node, now or a while ago.
+        on_confirmed: Called when the source is confirmed to have nothing newer than a position:
+            with the position, the time in monotonic seconds, and whether this node read it itself,
+            so that its peers need to be notified.
+        fetch_update: Fetches what came after a position from a peer; may raise `StreamError`. It is
+            called by another actor and may block.
+        reader_rank: Returns this node's place among the readers.
     """
 
     on_fleet: Callable[[Fleet, PublishedConfig], None]
@@ -90,16 +92,16 @@
 
 
 class StoreReader(Actor):
-    """Owns the way to a source, and what is held of it.
+    """Follows a source, directly or through peers, and owns the state read from it.
 
     Args:
-        source: To read from.
-        catalogue: What is held.
-        journal: What peers may be told.
-        events: What to call.
+        source: The source to read.
+        catalogue: The current state.
+        journal: Recent updates, from which peers are served.
+        events: Callbacks.
         audit: The audit trail.
         rng: Source of randomness.
-        bound_s: Seconds within which what the source took must be in force here.
+        bound_s: Seconds within which a change in the source must be in force on this node.
     """
 
     def __init__(
@@ -137,14 +139,14 @@
         self._ticker = Ticker("reader-tick", TICK_S, self._queue_tick)
 
     def on_start(self) -> None:
-        """Find peers, and begin to look."""
+        """Start the actors that make calls, find peers and start the ticker."""
         self._source_fetcher = SourceFetcher.start(self._source, self.actor_ref)
         self._peer_fetcher = PeerFetcher.start(self._events.fetch_update, self.actor_ref)
         self._find_peers()
         self._ticker.start()
 
     def on_stop(self) -> None:
-        """Stop to look."""
+        """Stop the ticker and the actors that make calls."""
         self._ticker.stop()
         self._source_fetcher.stop(block=False)
         self._peer_fetcher.stop(block=False)
@@ -167,13 +169,13 @@
                 _log.error("unknown message %r", message)
 
     def _queue_tick(self) -> None:
-        """Have the actor look again, unless it has yet to do so; called by the ticker's thread."""
+        """Send a tick unless one is still queued; called by the ticker's thread."""
         if not self._tick_queued:
             self._tick_queued = True
             self.actor_ref.tell(Tick())
 
     def _find_peers(self) -> None:
-        """Name the nodes that a cheap and perhaps old reading shows: they know what is newest."""
+        """Find nodes by a cheap, possibly stale snapshot; they know what is newest."""
         try:
             changes = self._source.stale_snapshot()
         except PlatformError as error:
@@ -183,7 +185,7 @@
             self._pause_until = clock.now() + FIRST_REPLY_WAIT_S
 
     def _report_peers(self, changes: Changes) -> bool:
-        """Tell beside which targets there are nodes; return whether there are any."""
+        """Report the targets whose VMs run a node; return whether there are any."""
         entries = [c.entry for c in changes.changes if isinstance(c, TargetPublished)]
         if entries:
             self._events.on_peers(entries)
@@ -198,13 +200,13 @@
         self._publish(False)
 
     def _is_due(self, now: float) -> bool:
-        """Tell whether this node is to read the source now, and does not do so yet."""
+        """Return whether a read of the source is due; false while one is in flight."""
         if self._source_request is not None or now < self._pause_until:
             return False
         return self._schedule.is_due(self._events.reader_rank(), now - self._confirmed_at)
 
     def _on_peer_position(self, peer: PeerPosition) -> None:
-        """Hear up to where a peer holds the source: what it holds beyond this node is asked for."""
+        """Process a peer's announced position: fetch what is newer, or take it as confirmation."""
         if peer.position > self._watermark:
             now = clock.now()
             self._behind_since = min(self._behind_since, now)
@@ -218,22 +220,22 @@
             self._log_behind(peer)
 
     def _log_behind(self, peer: PeerPosition) -> None:
-        """Log the first peer that is behind this node, once for each position held."""
+        """Log the first peer that is behind this node, once per position of this node."""
         if self._position is not None and self._position != self._behind_logged_at:
             self._behind_logged_at = self._position
             log_peer_behind(peer, held=self._position)
 
     @property
     def _watermark(self) -> Position:
-        """The position that readings must go beyond.
+        """The position that an update must exceed.
 
-        After the source has lost its history, what peers hold from before tells nothing: only a
-        whole reading, the own one or a peer's, goes on from there.
+        After the source has lost its history, what peers read before that is of no use. Only a full
+        snapshot, read by this node or by a peer, continues from there.
         """
         return self._history_lost_at if self._position is None else self._position
 
     def _catch_up(self, now: float) -> None:
-        """Ask a peer that holds more for what this node lacks, unless it reads by itself soon."""
+        """Fetch what this node lacks from a peer, unless it will soon read that from the source."""
         if self._peer_request is not None or not self._should_ask_peer(now):
             return
         peer = self._peers.best(now, self._watermark)
@@ -242,7 +244,7 @@
             self._peer_fetcher.tell(self._peer_request)
 
     def _should_ask_peer(self, now: float) -> bool:
-        """Tell whether peers are a nearer hope than the source."""
+        """Return whether peers are likely to answer sooner than the source."""
         if self._is_due(now):
             return False
         if self._source_request is None or self._failures:
@@ -250,7 +252,7 @@
         return now - self._behind_since > SOURCE_GRACE_S
 
     def _on_peer_result(self, response: PeerResult) -> None:
-        """Take in what a peer told; the source may have told more meanwhile."""
+        """Apply a peer's update, unless the source has returned as much in the meantime."""
         self._peer_request = None
         peer = response.request.peer
         match response.result:
@@ -259,21 +261,21 @@
                 log_peer_failed(
                     peer, error, after=self._position, requested_at=response.request.requested_at
                 )
-            case news:
+            case update:
                 self._peers.fetch_succeeded(peer.vm)
-                if news.unavailable_at is not None:
-                    self._mark_source_unavailable(news.unavailable_at)
-                if news.changes.position > self._watermark:
+                if update.unavailable_at is not None:
+                    self._mark_source_unavailable(update.unavailable_at)
+                if update.changes.position > self._watermark:
                     self._apply(
-                        news.changes,
-                        news.confirmed_at,
+                        update.changes,
+                        update.confirmed_at,
                         origin=peer.vm,
                         requested_at=response.request.requested_at,
                     )
         self._catch_up(clock.now())
 
     def _start_read(self, now: float) -> None:
-        """Have the source called; what comes of it is told later."""
+        """Start a call to the source; its result arrives as a message."""
         wait_s = self._schedule.wait_s(now - self._confirmed_at)
         self._source_request = SourceRequest(
             self._position, 0.0 if self._position is None else wait_s, now
@@ -281,7 +283,7 @@
         self._source_fetcher.tell(self._source_request)
 
     def _on_source_result(self, response: SourceResult) -> None:
-        """Take in what a call brought; peers may have told more meanwhile."""
+        """Apply the result of a call, unless peers have sent more in the meantime."""
         self._source_request = None
         request = response.request
         match response.result:
@@ -312,7 +314,7 @@
         )
 
     def _apply(self, changes: Changes, at: float, *, origin: str, requested_at: float) -> None:
-        """Take in what the source or a peer told; an empty `origin` stands for the source."""
+        """Apply an update of the source or of a peer; an empty `origin` is the source."""
         confirmed_at = self._confirmed_at
         config = self._catalogue.config
         log_read(
@@ -335,7 +337,7 @@
         self._confirm(at, own=not origin)
 
     def _confirm(self, at: float, *, own: bool) -> None:
-        """Note that the source had nothing newer at a moment, and say so."""
+        """Record that the source had nothing newer at a given time, and report it."""
         if self._position is None:
             return
         self._confirmed_at = max(self._confirmed_at, at)
@@ -367,7 +369,7 @@
         self._failures = 0
 
     def _publish(self, changed: bool, origin: str = "") -> None:
-        """Hand the fleet over if it changed, be it by the end of a withdrawn target's time."""
+        """Publish the fleet if it changed, which includes the expiry of withdrawn targets."""
         changed |= self._catalogue.expire(clock.now())
         config = self._catalogue.config
         if not changed or config is None:
--- a/tests/test_platform_reader.py
+++ b/tests/test_platform_reader.py
@@ -1,4 +1,4 @@
-"""A reader that follows the platform's store, against a stand-in of it."""
+"""A reader that follows the platform's store, tested against a stand-in for it."""
 
 import random
 import threading
@@ -31,7 +31,7 @@
 
 @pytest.fixture
 def bench() -> Iterator[Bench]:
-    """Start a store."""
+    """Return a started store and a client of it."""
     made = Bench()
     made.start()
     yield made
@@ -39,27 +39,27 @@
 
 
 class FleetRecorder:
-    """Notes the fleets that a reader hands over."""
+    """Records the fleets that a reader publishes."""
 
     def __init__(self) -> None:
         self.fleets: list[Fleet] = []
         self.changed = threading.Condition()
 
     def on_fleet(self, fleet: Fleet, _: PublishedConfig) -> None:
-        """Note one."""
+        """Record a fleet."""
         with self.changed:
             self.fleets.append(fleet)
             self.changed.notify_all()
 
     def wait_for_calls(self, bench: Bench, calls: int) -> None:
-        """Wait until the store was called so many times."""
+        """Wait until the store has received a number of calls."""
         deadline = clock.now() + LIMIT_S
         while bench.state.calls < calls:
             assert clock.now() < deadline, "not in time"
             time.sleep(0.005)
 
     def wait_for(self, holds: Callable[[Fleet], bool], timeout_s: float = LIMIT_S) -> None:
-        """Wait until the newest fleet is as wanted."""
+        """Wait until a condition holds for the newest fleet."""
         deadline = clock.now() + timeout_s
         with self.changed:
             while not (self.fleets and holds(self.fleets[-1])):
@@ -67,8 +67,8 @@
 
 
 def unreachable_peer(_: Address, __: Position) -> SourceUpdate:
-    """Answer for a peer that cannot be reached."""
-    raise StreamError("Nobody is there.")
+    """Act as a peer that cannot be reached."""
+    raise StreamError("The peer is unreachable.")
 
 
 def start_reader(
@@ -80,12 +80,12 @@
     ask: Callable[[Address, Position], SourceUpdate] = unreachable_peer,
     confirmed: list[tuple[Position, bool]] | None = None,
 ) -> ActorRef[StoreReader]:
-    """Start a reader of the store at some place among the readers of its data hall."""
-    told = [] if confirmed is None else confirmed
+    """Start a reader of the store with a place among the readers of its data hall."""
+    confirmations = [] if confirmed is None else confirmed
     events = StoreEvents(
         on_fleet=recorder.on_fleet,
         on_peers=lambda entries: None,
-        on_confirmed=lambda position, at, own: told.append((position, own)),
+        on_confirmed=lambda position, at, own: confirmations.append((position, own)),
         fetch_update=ask,
         reader_rank=lambda: reader_rank,
     )
@@ -96,7 +96,7 @@
 
 
 def test_the_reader_follows_through_an_outage_and_a_lost_history(bench: Bench) -> None:
-    """What was held stays; what changed meanwhile is in force after, and no version goes back."""
+    """The state survives; changes made meanwhile take effect later, and no version decreases."""
     recorder = FleetRecorder()
     audit = AuditTrail()
     ref = start_reader(bench, recorder, audit)
@@ -121,9 +121,9 @@
     assert any(event.subject == "servers/bad" for event in audit.since())
 
 
-# Guards against a lost history that is taken for an outage, in which entries of targets lapse.
+# Guards against a lost history being treated as an outage, in which entries of targets lapse.
 def test_a_target_withdrawn_with_the_history_gets_no_work_after_the_bound(bench: Bench) -> None:
-    """The store answers, so it was no outage that ended the entry."""
+    """The store kept answering, so the entry did not lapse because of an outage."""
     recorder = FleetRecorder()
     bench.state.put("servers/i-2", entry("10.0.0.2:80"))
     ref = start_reader(bench, recorder, AuditTrail())
@@ -137,13 +137,13 @@
         ref.stop()
 
 
-def test_of_an_entry_that_makes_no_sense_there_is_a_line_for_each_change(bench: Bench) -> None:
-    """Not one for each reading: a store may hold thousands of them."""
+def test_an_invalid_entry_is_audited_once_per_change(bench: Bench) -> None:
+    """It is not audited on each read: a store may contain thousands of such entries."""
     audit = AuditTrail()
     recorder = FleetRecorder()
     ref = start_reader(bench, recorder, audit)
 
-    def told() -> list[str]:
+    def audited() -> list[str]:
         return [event.subject for event in audit.since() if event.subject == "servers/bad"]
 
     def put(value: Any, marker: str) -> None:
@@ -155,21 +155,21 @@
         recorder.wait_for(lambda fleet: fleet.revision == 4)
         put(b"no entry", "i-2")
         put(b"no entry", "i-3")
-        assert len(told()) == 1
+        assert len(audited()) == 1
         bench.state.forget()
         put(b"no entry", "i-4")
-        assert len(told()) == 1
+        assert len(audited()) == 1
         put({}, "i-5")
-        assert len(told()) == 2
+        assert len(audited()) == 2
         put(entry("10.0.0.8:80"), "i-6")
         put({}, "i-7")
-        assert len(told()) == 3
+        assert len(audited()) == 3
     finally:
         ref.stop()
 
 
-def test_a_store_full_of_entries_of_others_costs_no_bound(bench: Bench) -> None:
-    """Ten thousand of them are read, and a change is in force in time."""
+def test_a_change_is_in_force_in_time_in_a_store_full_of_other_entries(bench: Bench) -> None:
+    """Ten thousand invalid entries are read without delaying it beyond the bound."""
     audit = AuditTrail()
     recorder = FleetRecorder()
     for number in range(10_000):
@@ -184,10 +184,10 @@
         ref.stop()
 
 
-def test_an_older_word_does_not_stand_in_for_the_reading_after_a_lost_history(
+def test_an_older_update_does_not_replace_the_snapshot_after_a_lost_history(
     bench: Bench,
 ) -> None:
-    """A peer that has not noticed yet tells on what it holds: from there no history goes on."""
+    """A peer that has not noticed the loss still offers its old state, which must not be used."""
     recorder = FleetRecorder()
     asked: list[Position] = []
     held = bench.client.snapshot()
@@ -211,8 +211,8 @@
     assert asked == []
 
 
-def test_after_a_lost_history_the_whole_reading_of_a_peer_will_do(bench: Bench) -> None:
-    """It goes on beyond what was lost, so this node need not read itself."""
+def test_after_a_lost_history_a_full_snapshot_of_a_peer_is_enough(bench: Bench) -> None:
+    """It continues beyond the lost position, so this node need not read the store itself."""
     recorder = FleetRecorder()
     update = SourceUpdate(bench.client.snapshot(), 0.0)
 
@@ -237,8 +237,8 @@
         ref.stop()
 
 
-def test_a_node_that_is_told_reads_nothing_itself(bench: Bench) -> None:
-    """The word of a peer is enough, and what it lacks it asks of that peer."""
+def test_a_node_with_an_up_to_date_peer_reads_nothing_itself(bench: Bench) -> None:
+    """The peer's confirmations are enough, and missing changes are fetched from that peer."""
     recorder = FleetRecorder()
     asked: list[Position] = []
 
@@ -263,12 +263,12 @@
     finally:
         ref.stop()
     assert asked == [START]
-    assert snapshot_calls == 1, "only the one that the peer of this test made"
+    assert snapshot_calls == 1, "only the call made by the peer in this test is expected"
 
 
 @pytest.mark.parametrize("rank", [1, 2, 9])
-def test_a_node_that_is_told_nothing_reads_in_time(bench: Bench, rank: int) -> None:
-    """Whoever was cut off or frozen: what the store took is in force within the bound."""
+def test_a_node_without_confirmations_reads_in_time(bench: Bench, rank: int) -> None:
+    """Whichever nodes were cut off or frozen, a change is in force within the bound."""
     recorder = FleetRecorder()
     confirmed: list[tuple[Position, bool]] = []
     reader_rank = ReaderRank(rank=rank, peers=20)
@@ -283,8 +283,8 @@
     assert (Position(0, bench.state.revision), True) in confirmed
 
 
-def test_the_first_reader_tells_that_nothing_is_newer(bench: Bench) -> None:
-    """Often enough that the second in the order need not read."""
+def test_the_first_reader_confirms_that_nothing_is_newer(bench: Bench) -> None:
+    """It does so often enough that the second in the order need not read."""
     recorder = FleetRecorder()
     confirmed: list[tuple[Position, bool]] = []
     ref = start_reader(bench, recorder, AuditTrail(), confirmed=confirmed)
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -1,4 +1,4 @@
-"""Readers of a store that is restored from a backup, so that revisions are given out again."""
+"""Readers of a store that is restored from a backup, after which revisions are assigned again."""
 
 import random
 import time
@@ -25,19 +25,19 @@
 
 LIMIT_S = 5.0
 BOUND_S = 2.0
-"""Seconds within which what the store acknowledged must be in force."""
+"""Seconds within which a write that the store acknowledged must be in force."""
 REWRITTEN_S = 2.0
-"""Seconds after which targets that live have written their entries again."""
+"""Seconds after which all live targets have written their entries again."""
 NODES = 3
 ROW: list[Any] = ["r", "one.example", "/a/", "idempotent", "s", None]
 
 
 class HallNode:
-    """A reader at a place in its data hall, with what is in force there.
+    """A node with a reader, and the fleet in force on it.
 
     Args:
         store: Address of the store.
-        hall: All nodes of the data hall, which tell each other what they confirmed.
+        hall: All nodes of the data hall, which notify each other of confirmed positions.
     """
 
     def __init__(self, store: str, hall: Sequence["HallNode"]) -> None:
@@ -51,7 +51,7 @@
             on_fleet=self._on_fleet,
             on_peers=self._on_peers,
             on_confirmed=self._on_confirmed,
-            fetch_update=self._ask,
+            fetch_update=self._fetch_update,
             reader_rank=lambda: ReaderRank(self._place, NODES - 1),
         )
         self.reader: ActorRef[StoreReader] = StoreReader.start(
@@ -65,7 +65,7 @@
         )
 
     def leaving(self, target: str) -> bool:
-        """Tell whether a target takes no new work here, be it known or gone."""
+        """Return whether a target gets no new requests here, as it is leaving or gone."""
         known = self.fleet.targets.get(target)
         return known is None or known.leaving
 
@@ -74,7 +74,7 @@
         self.versions.append(fleet.revision)
 
     def _on_peers(self, entries: Sequence[TargetEntry]) -> None:
-        """Know no others than those of the data hall."""
+        """Ignore peers, as all nodes of the data hall are known."""
 
     def _on_confirmed(self, position: Any, at: float, own: bool) -> None:
         name = str(self._place)
@@ -83,15 +83,15 @@
             if own and node is not self:
                 node.reader.tell(self.position)
 
-    def _ask(self, address: Address, after: Any) -> SourceUpdate:
+    def _fetch_update(self, address: Address, after: Any) -> SourceUpdate:
         news = self._hall[address[1]]._journal.since(after)
         if news is None:
-            raise StreamError("The peer holds nothing yet.")
+            raise StreamError("The peer has not read anything yet.")
         return news
 
 
 class Hall:
-    """Nodes of one data hall, and the store that they read."""
+    """The nodes of one data hall, and the store that they read."""
 
     def __init__(self, state: StoreState, address: str) -> None:
         self.state = state
@@ -99,7 +99,7 @@
         self.nodes: list[HallNode] = []
 
     def start(self, nodes: int) -> None:
-        """Start nodes, one after the other; each hears at once what the others hold."""
+        """Start nodes in turn; each gets the positions of the others at once."""
         for _ in range(nodes):
             positions = [n.position for n in self.nodes if n.position is not None]
             self.nodes.append(HallNode(self._address, self.nodes))
@@ -107,14 +107,14 @@
                 self.nodes[-1].reader.tell(position)
 
     def publish(self, version: int) -> None:
-        """Have the operator write a configuration."""
+        """Write a configuration to the store, as the operator does."""
         self.state.put("op/config", config(version, [ROW]))
 
     def wait_until(self, holds: Callable[[HallNode], bool], limit_s: float = LIMIT_S) -> None:
-        """Wait until something holds on all nodes."""
+        """Wait until a condition holds on all nodes."""
         deadline = clock.now() + limit_s
         while behind := [n for n, node in enumerate(self.nodes) if not holds(node)]:
-            assert clock.now() < deadline, f"not on nodes {behind} after {limit_s} s"
+            assert clock.now() < deadline, f"not true on nodes {behind} after {limit_s} s"
             time.sleep(0.005)
 
     def wait_for(self, version: int, limit_s: float = LIMIT_S) -> None:
@@ -129,7 +129,7 @@
 
 @pytest.fixture
 def hall() -> Iterator[Hall]:
-    """Return a data hall without nodes, and a store with version 20 and two targets."""
+    """Return a data hall without nodes and with a store that has version 20 and two targets."""
     state = StoreState()
     server = store_server(("127.0.0.1", 0), state)
     server.start_thread()
@@ -143,15 +143,15 @@
 
 
 def put_and_delete(hall: Hall, count: int) -> None:
-    """Raise the revision by entries that come and go."""
+    """Increase the revision by writing and deleting entries."""
     for number in range(count):
         hall.state.put(f"servers/x-{number}", entry(f"10.0.1.{number}:80"))
         hall.state.delete(f"servers/x-{number}")
 
 
-# Guards against followers that take a lower revision of a restored store for an older one.
-def test_followers_hear_what_a_restored_store_took_below_their_revision(hall: Hall) -> None:
-    """Their reader is the only one to read it, and its revision is lower than theirs."""
+# Guards against followers that treat a lower revision of a restored store as an older state.
+def test_followers_get_writes_of_a_restored_store_below_their_revision(hall: Hall) -> None:
+    """Only the hall's first node reads the store, whose revision is now lower than theirs."""
     hall.start(NODES)
     hall.wait_for(20)
     backup = hall.state.backup()
@@ -165,12 +165,12 @@
     hall.wait_until(lambda n: n.fleet.revision == 28 and n.leaving("i-1"), BOUND_S)
 
 
-# Guards against a reader that goes on from a revision which a restored store gave out again.
+# Guards against a reader that continues from a revision that a restored store has assigned again.
 @pytest.mark.parametrize("later", [0, 4])
-def test_a_reader_misses_nothing_that_a_restored_store_took_before_its_next_watch(
+def test_a_reader_misses_no_write_to_a_restored_store_before_its_next_watch(
     hall: Hall, later: int
 ) -> None:
-    """The store is away meanwhile, and at the reader's revision or past it when it is back."""
+    """The store is down meanwhile; when it is back, it is at the reader's revision or beyond it."""
     hall.start(1)
     hall.wait_for(20)
     backup = hall.state.backup()
@@ -189,7 +189,7 @@
 def test_a_target_that_the_backup_lacks_stays_in_service_until_it_is_written_again(
     hall: Hall,
 ) -> None:
-    """Targets write their entries anew within about two seconds."""
+    """Targets write their entries again within about two seconds."""
     hall.start(NODES)
     hall.wait_for(20)
     backup = hall.state.backup()
@@ -208,10 +208,10 @@
 
 
 # Guards against a backup that puts a leaving target back in service.
-def test_a_target_that_said_it_leaves_stays_leaving_when_the_store_is_restored(
+def test_a_leaving_target_stays_leaving_when_the_store_is_restored(
     hall: Hall,
 ) -> None:
-    """Also on a node that starts before the target has written it again."""
+    """Also on a node that starts before the target has written its entry again."""
     hall.start(NODES)
     hall.wait_for(20)
     backup = hall.state.backup()
@@ -226,9 +226,9 @@
     assert all(node.leaving("i-1") for node in hall.nodes)
 
 
-# Guards against a backup that is handed to new nodes in the place of what is in force.
-def test_no_version_goes_back_when_the_store_is_restored(hall: Hall) -> None:
-    """The older one of the backup is not taken, neither by those who knew nor by a new node."""
+# Guards against a backup reaching new nodes instead of the configuration in force.
+def test_no_version_decreases_when_the_store_is_restored(hall: Hall) -> None:
+    """Neither the running nodes nor a new one accept the older version in the backup."""
     hall.start(NODES)
     hall.wait_for(20)
     backup = hall.state.backup()
@@ -246,7 +246,7 @@
 
 # Guards against a backup that puts a withdrawn target back in service.
 def test_a_withdrawn_target_stays_out_of_service_when_the_store_is_restored(hall: Hall) -> None:
-    """Its entry is in the backup only; that of a target that lives is written again."""
+    """Its entry exists only in the backup; a live target writes its entry again."""
     hall.start(NODES)
     hall.wait_for(20)
     backup = hall.state.backup()
