--- a/roadpass/catalogue.py
+++ b/roadpass/catalogue.py
@@ -1,7 +1,7 @@
-"""What a node holds of a source: the newest configuration and the targets, and the fleet of them.
+"""A node's copy of a source: the newest configuration, the targets, and the fleet built from them.
 
-Pure state: no sockets, threads or clocks. A withdrawn target stays in service for a moment: its
-entry may have lapsed only because the source was away, and then it is back at once.
+Holds state only: no sockets, threads or clocks. A withdrawn target stays in service for a moment,
+as its entry may have lapsed only because the source was unavailable, and then returns at once.
 """
 
 import math
@@ -24,42 +24,43 @@
 )
 
 WITHDRAWN_GRACE_S = 0.7
-"""Seconds that a withdrawn target is still sent to; it must not be after 2 s."""
+"""Seconds for which a withdrawn target still receives requests; it must not after 2 s."""
 MAX_WITHDRAWN_AGE_S = 1.6
-"""The same from the moment on at which its entry is known to have been there still."""
+"""Limit in seconds on the same, counted from the last time its entry is known to have existed."""
 REPUBLISH_GRACE_S = 2.5
-"""Seconds from a failed call on in which withdrawn targets are kept: entries that lapsed while the
-source was away are back about 2 s after its return."""
+"""Seconds after a failed call in which withdrawn targets are kept: entries that lapsed while the
+source was unavailable are written again about 2 s after its return."""
 FALSE_EJECTIONS_PER_TARGET_WEEK = 0.1
-"""False ejections accepted a target and week."""
+"""Accepted rate of false ejections of a target by its health judgement."""
 ATTEMPT_TIMEOUT_MS = 60_000
-"""Milliseconds; no bound of its own on one attempt: the request's time bounds it."""
+"""So long that single attempts are bounded only by the deadline of their request."""
 WAITING_LIMIT = 400
-"""Requests of one service and class that may wait at an ingress: a thread each, 0.1 MB."""
+"""Requests of one service and class that may wait at an ingress; each takes a thread, 0.1 MB."""
 QUEUE_LIMIT = 24
-"""Requests that may wait at a target's sidecar; the expected wait bounds them before that."""
+"""Requests that may wait at a target's sidecar; the expected wait limits them earlier."""
 RETRY_SHARE = 0.57
-"""Share of the allowed repeats that is used. The rest is room for the calls that a repeated run
-makes: they count as repeats too, at the service that is called, and no door there can tell them."""
+"""Share of the allowed retries that is used. The rest is reserved for the calls that a retried
+request makes in turn: they count as retries of the called service, which cannot recognize them."""
 JUDGEMENT = Judgement(slow_margin=6.0, trial_weight=0.15, trial_successes=3)
-"""Targets run at different speeds and their requests at different lengths, so only six times the
-others' is slow; an ingress sends a target about one request in two seconds, so a trial is short."""
+"""Targets differ in speed and requests in length, so only six times the others' latency counts as
+slow. An ingress sends a target about one request in two seconds, so a trial is short."""
 MAX_REMEMBERED_STARTS = 10_000
-"""Ids of which the newest start is remembered, also after their entries are gone: word of an
-earlier start may come late, from a peer or an old reading. About 0.1 KB each."""
+"""Instance ids whose newest start is remembered, also after their entries are gone: an entry of an
+earlier start may arrive late, from a peer or a stale read. About 0.1 KB each."""
 SLOW_START_S = 2.0
-"""Seconds of the ramp of a new target: published targets tell their own warm-up, a few seconds."""
+"""Seconds of the ramp-up of a new target; published targets report their own warm-up, which takes a
+few seconds."""
 
 
 class Policy(NamedTuple):
-    """What the operators set for all published services.
+    """Operator settings that apply to all published services.
 
     Args:
-        floor_share: Share of a service's slots that stays in service whatever the evidence.
-        retry_ratio: Repeats that a service may get for each request, over the whole fleet.
-        retry_slack: Repeats beyond that in each window, over the whole fleet.
-        retry_window_s: Seconds of such a window.
-        far_loss_per_kb: What a kilobyte to another data hall costs, as a share of a lost request.
+        floor_share: Share of a service's slots that is never ejected, whatever the evidence.
+        retry_ratio: Retries per request that a service may receive, over the whole fleet.
+        retry_slack: Additional retries in each window, over the whole fleet.
+        retry_window_s: Length of the window in seconds.
+        far_loss_per_kb: Cost of a kilobyte sent to another data hall, as a share of a lost request.
     """
 
     floor_share: float = 0.7
@@ -70,15 +71,15 @@
 
     @classmethod
     def from_settings(cls, store: StoreSettings) -> "Policy":
-        """Return the policy that a node's settings hold."""
+        """Return the policy in a node's store settings."""
         return cls(*(getattr(store, name) for name in cls._fields))
 
 
 class Catalogue:
-    """The newest configuration and the targets that are known.
+    """The newest configuration and the known targets; not safe for use by several threads.
 
     Args:
-        policy: For the fleets that are built.
+        policy: Applied to the fleets that are built.
     """
 
     def __init__(self, policy: Policy) -> None:
@@ -93,41 +94,41 @@
 
     @property
     def config(self) -> PublishedConfig | None:
-        """The newest configuration, `None` before the first."""
+        """The newest configuration, `None` before the first update."""
         return self._config
 
     @property
     def targets(self) -> Mapping[str, TargetEntry]:
-        """Targets by instance, those included whose entry was withdrawn a moment ago."""
+        """Targets by instance id, including those withdrawn a moment ago."""
         return self._targets
 
     def set_policy(self, policy: Policy) -> None:
-        """Put another policy in force for the fleets that are built from now on."""
+        """Use another policy for the fleets that are built from now on."""
         self._policy = policy
 
     def mark_source_unavailable(self, now: float) -> None:
-        """Note that the source could not be read: withdrawals may be lapses."""
+        """Record that the source could not be read: entries withdrawn now may only have lapsed."""
         self._unavailable_until = max(self._unavailable_until, now)
 
     def apply(
         self, now: float, changes: Changes, *, confirmed_at: float = math.inf
     ) -> tuple[bool, list[InvalidItem]]:
-        """Take in what a source tells.
+        """Apply an update.
 
         Args:
             now: Clock seconds.
-            changes: What it told.
-            confirmed_at: When the source had nothing newer than what was held before, in monotonic
-                seconds: what it withdraws now may be gone since then.
+            changes: The update.
+            confirmed_at: Monotonic seconds at which the source was last confirmed to have nothing
+                newer than the state before: what it withdraws may have been gone since then.
 
         Returns:
-            Whether the fleet is another one now, and what could not be used.
+            Whether the fleet has changed, and the items that could not be used.
         """
         changed = False
         invalid: list[InvalidItem] = []
         restored = self._era is not None and changes.position.era > self._era
         self._era = changes.position.era
-        if restored:  # targets that the backup lacks write themselves again, as after an outage
+        if restored:  # targets missing in the backup write their entries again, as after an outage
             self.mark_source_unavailable(now)
         for change in changes.changes:
             match change:
@@ -146,25 +147,25 @@
         return changed, invalid
 
     def expire(self, now: float) -> bool:
-        """Drop withdrawn targets whose time is over, and take those that a backup rightly named.
+        """Drop withdrawn targets after their grace period, add restored ones that did not lapse.
 
         Returns:
-            Whether there was any.
+            Whether the fleet has changed.
         """
         expired = [name for name, until in self._withdrawn.items() if until <= now]
         for name in expired:
             del self._withdrawn[name]
             self._targets.pop(name, None)
-        taken = [self._apply_target(entry) for entry in self._restored.release(now)]
-        return bool(expired) or any(taken)
+        added = [self._apply_target(entry) for entry in self._restored.release(now)]
+        return bool(expired) or any(added)
 
     def next_expiry_s(self, now: float) -> float:
-        """Return the seconds until `expire` has something to do, infinite if nothing waits."""
+        """Return the seconds until `expire` has something to do, infinite if nothing is pending."""
         until = min(self._withdrawn.values(), default=math.inf)
         return max(0.0, min(until, self._restored.next_release_at()) - now)
 
     def fleet(self) -> Fleet:
-        """Return the fleet that is in force by all that is held."""
+        """Return the fleet built from the current state, empty without a configuration."""
         if self._config is None:
             return Fleet.empty()
         return build_fleet(self._config, self._targets.values(), self._policy)
@@ -177,7 +178,7 @@
 
     def _apply_target(self, entry: TargetEntry) -> bool:
         known = self._targets.get(entry.instance)
-        if not entry.born and known is not None:  # it says nothing against being the same start
+        if not entry.born and known is not None:  # without a start time, assume the known start
             entry = entry._replace(born=known.born)
         if 0 < entry.born < self._newest_starts.get(entry.instance, 0):
             return False
@@ -190,7 +191,7 @@
         return True
 
     def _remember_start(self, entry: TargetEntry) -> None:
-        """Remember the newest start under an id, the latest seen last."""
+        """Remember the newest start of an instance id; the oldest record is evicted first."""
         self._newest_starts.pop(entry.instance, None)
         self._newest_starts[entry.instance] = entry.born
         if len(self._newest_starts) > MAX_REMEMBERED_STARTS:
@@ -199,7 +200,14 @@
     def _withdraw(
         self, now: float, confirmed_at: float, instance: str, *, ended: bool = True
     ) -> None:
-        """Let a target go whose entry is gone, as it has `ended` or as a backup lacks it."""
+        """Start the grace period of a target whose entry is gone.
+
+        Args:
+            now: Clock seconds.
+            confirmed_at: Clock seconds at which the entry is known to have existed.
+            instance: Id of the target.
+            ended: Whether the target has ended, rather than being absent from a backup.
+        """
         self._restored.discard(instance)
         if instance in self._targets and instance not in self._withdrawn:
             kept_until = min(now + WITHDRAWN_GRACE_S, confirmed_at + MAX_WITHDRAWN_AGE_S)
@@ -211,24 +219,24 @@
     def _withdraw_missing(
         self, now: float, confirmed_at: float, changes: Changes, *, ended: bool
     ) -> None:
-        named = {
+        present = {
             change.entry.instance
             for change in changes.changes
             if isinstance(change, TargetPublished)
         }
-        self._restored.discard_others(named)
+        self._restored.discard_others(present)
         for instance in self._targets:
-            if instance not in named:
+            if instance not in present:
                 self._withdraw(now, confirmed_at, instance, ended=ended)
 
 
 def build_fleet(config: PublishedConfig, entries: Iterable[TargetEntry], policy: Policy) -> Fleet:
-    """Build the fleet of a configuration and the targets that are known.
+    """Build the fleet from a configuration and the known targets.
 
     Args:
         config: The configuration.
-        entries: Targets; those of services that it does not name are left out.
-        policy: What the operators set for all services.
+        entries: Targets; those of services missing in the configuration are left out.
+        policy: Operator settings for all services.
     """
     targets = {
         entry.name: _target(entry, config.services[entry.service])
@@ -267,10 +275,10 @@
 
 
 def _classes(name: str, config: PublishedConfig) -> tuple[TrafficClass, ...]:
-    """Return a service's classes: its routes', joined with the customers' where they have any.
+    """Return a service's traffic classes: those of its routes, joined with those of customers.
 
-    With the customers' alone, all being of one class, the urgent requests of a service waited like
-    any others: half of them were served in a crowd in which three of four others were.
+    With customer classes alone and all customers in one class, urgent requests had no priority: in
+    an overload half of them were served, but three quarters of the others.
     """
     classes = {
         route.traffic_class or ""
@@ -279,7 +287,7 @@
     }
     named = config.customers.traffic_classes
     if named:
-        own = [joined_class(each, each) for each in classes]  # of requests that are nobody's
+        own = [joined_class(each, each) for each in classes]  # for requests without a customer
         classes = {joined_class(one, each) for one in named for each in classes}.union(own)
     return tuple(TrafficClass(each, 0.0) for each in sorted(classes)) or (TrafficClass("", 0.0),)
 
--- a/roadpass/journal.py
+++ b/roadpass/journal.py
@@ -1,4 +1,4 @@
-"""What a node can tell its peers of a source: all it holds, or what came after a position."""
+"""Recent updates of a source, from which a node serves its peers."""
 
 import threading
 from collections import deque
@@ -16,18 +16,19 @@
 )
 
 MAX_UPDATES = 256
-"""Readings kept: some minutes of a busy source. A peer that missed more is told all."""
+"""Updates kept, which cover some minutes of a busy source; a peer that missed more receives a full
+snapshot."""
 
 
 class _Update(NamedTuple):
-    """What one reading brought, and the position it went on from."""
+    """The changes of one read, and the position before them."""
 
     after: Position
     changes: Changes
 
 
 class Journal:
-    """The latest readings and the state they add up to; safe for any thread."""
+    """The latest updates and the state they result in; thread-safe."""
 
     def __init__(self) -> None:
         self._lock = threading.Lock()
@@ -39,10 +40,10 @@
         self._updates: deque[_Update] = deque(maxlen=MAX_UPDATES)
 
     def record(self, changes: Changes, at: float) -> None:
-        """Note what a reading brought.
+        """Record an update.
 
         Args:
-            changes: All there is, or what came after the reading noted before it.
+            changes: A full snapshot, or what came after the update recorded before.
             at: Clock seconds at which the source had nothing newer.
         """
         with self._lock:
@@ -57,22 +58,22 @@
             self._at = max(self._at, at)
 
     def confirm(self, at: float) -> None:
-        """Note that the source had nothing newer at a moment."""
+        """Record the clock seconds at which the source had nothing newer."""
         with self._lock:
             self._at = max(self._at, at)
 
     def mark_source_unavailable(self, at: float) -> None:
-        """Note that the source could not be read at a moment."""
+        """Record the clock seconds at which the source could not be read."""
         with self._lock:
             self._unavailable_at = (
                 at if self._unavailable_at is None else max(self._unavailable_at, at)
             )
 
     def since(self, after: Position) -> SourceUpdate | None:
-        """Return what came after a position, or all if that is not known any more.
+        """Return what came after a position, or a full snapshot if that history is no longer kept.
 
         Returns:
-            `None` while nothing was noted.
+            The update, `None` if nothing was recorded yet.
         """
         with self._lock:
             if self._position == START:
@@ -98,7 +99,7 @@
         return (*config, *self._targets.values())
 
     def _changes_after(self, after: Position) -> tuple[Change, ...]:
-        """Return the last change of each item in the readings that went past a position."""
+        """Return the last change of each item in the updates that go beyond a position."""
         last: dict[str, Change] = {}
         for update in self._updates:
             if update.changes.position > after:
--- a/roadpass/monotonic.py
+++ b/roadpass/monotonic.py
@@ -1,4 +1,4 @@
-"""Monotonic reads of a source that may be restored from a backup older than what it told."""
+"""Monotonic reads of a source that may be restored from an old backup."""
 
 from collections.abc import Iterator
 
@@ -11,37 +11,37 @@
 )
 
 MAX_REMEMBERED_LEAVING = 10_000
-"""Starts of targets that are remembered as leaving, about 0.1 KB each."""
+"""Target starts that are remembered as leaving, about 0.1 KB each."""
 
 
 class MonotonicReads:
-    """Keeps later readings from undoing earlier ones; pure.
+    """Prevents later reads from undoing earlier ones; does no I/O.
 
-    A configuration is not replaced by one of an older version, and a target that said that it
-    leaves does not return to service within the same start.
+    A configuration is never replaced by an older version, and a target that has announced that it
+    is leaving does not return to service within the same start.
     """
 
     def __init__(self) -> None:
         self._config: ConfigPublished | None = None
         self._leaving: dict[str, None] = {}
-        """Names of starts, the latest seen last."""
+        """Names of target starts, the most recently seen last."""
 
     def apply(self, changes: Changes) -> Changes:
-        """Return a reading in which nothing is older than in those before it."""
+        """Return the update with everything replaced that is older than in previous updates."""
         return changes._replace(changes=tuple(self._newest(changes)))
 
     def _newest(self, changes: Changes) -> Iterator[Change]:
-        named = False
+        has_config = False
         for change in changes.changes:
             match change:
                 case ConfigPublished():
-                    named = True
+                    has_config = True
                     yield self._newest_config(change)
                 case TargetPublished():
                     yield self._newest_entry(change)
                 case _:
                     yield change
-        if changes.full and not named and self._config is not None:
+        if changes.full and not has_config and self._config is not None:
             yield self._config
 
     def _newest_config(self, change: ConfigPublished) -> ConfigPublished:
--- a/roadpass/news.py
+++ b/roadpass/news.py
@@ -1,4 +1,4 @@
-"""What a source told, as nodes hand it to each other: the written form of `Changes`, and asking."""
+"""Source updates between nodes: the wire format of `Changes`, and fetching updates from a peer."""
 
 from typing import Any, NamedTuple
 
@@ -24,19 +24,20 @@
 )
 
 FETCH_TIMEOUT_S = 0.35
-"""Seconds to a peer's news; it takes milliseconds, and the bounds on what it tells are 2 s."""
+"""Timeout of a request to a peer in seconds. A reply takes milliseconds, and what it contains must
+be in force within 2 s."""
 _PARSE_ERRORS = (TypeError, ValueError, IndexError, AttributeError)
 
 
 class PeerPosition(NamedTuple):
-    """Up to where a peer holds the source.
+    """A peer's announcement of the position that it has reached.
 
     Args:
         position: In the history of the source.
-        confirmed_at: Clock seconds at which the source had nothing newer, as the peer tells.
-        vm: The peer.
-        address: Of its streams.
-        near: Whether it is in the own data hall.
+        confirmed_at: Clock seconds at which the source had nothing newer, according to the peer.
+        vm: The peer's VM.
+        address: Of the peer's stream port.
+        near: Whether the peer is in this node's data hall.
     """
 
     position: Position
@@ -47,12 +48,12 @@
 
 
 class SourceUpdate(NamedTuple):
-    """What a node holds of a source, or what it gained since a position.
+    """A node's full state of a source, or what has changed since a position.
 
     Args:
-        changes: As the source told them.
+        changes: As read from the source.
         confirmed_at: Clock seconds at which the source is known to have had nothing newer.
-        unavailable_at: Clock seconds at which it could last not be read, `None` if it always could.
+        unavailable_at: Clock seconds of the last failed read of the source, `None` if none failed.
     """
 
     changes: Changes
@@ -61,12 +62,12 @@
 
     @classmethod
     def from_message(cls, message: Message, requested_at: float) -> "SourceUpdate":
-        """Build news from a checked message.
+        """Build an update from a validated message.
 
         Args:
-            message: Its ages are as of when it was sent.
-            requested_at: A moment before that, in clock seconds: news that were held up on their
-                way then count as older than they are, never as fresher.
+            message: Its ages are relative to the time it was sent.
+            requested_at: Clock seconds at which it was requested. Ages are counted from then, so
+                that a delayed update is taken as older than it is, never as fresher.
 
         Raises:
             FrameError: Its configuration cannot be read.
@@ -84,7 +85,7 @@
         )
 
     def to_message(self, now: float) -> Message:
-        """Return the written form at a moment, in clock seconds."""
+        """Return the message to send at a time in clock seconds; ages are relative to it."""
         message: dict[str, Any] = {
             "t": "news",
             **self.changes.position.to_message(),
@@ -111,10 +112,10 @@
 
 
 def fetch_update(peers: PeerPool, address: Address, after: Position) -> SourceUpdate:
-    """Ask a peer for what the source told after a position.
+    """Request what came after a position from a peer.
 
     Raises:
-        StreamError: It did not answer, or not with usable news.
+        StreamError: The peer did not answer, or its reply was not a usable update.
     """
     message: CatchUp = {"t": "catch_up", "after": after.revision}
     if after.era:
@@ -122,12 +123,12 @@
     requested_at = clock.now()
     reply = peers.exchange(address, message, timeout_s=FETCH_TIMEOUT_S)
     if reply["t"] != "news":
-        raise StreamError("The peer has no news.")
+        raise StreamError("The peer's reply was not a source update.")
     return SourceUpdate.from_message(reply, requested_at)
 
 
 def _entry_row(entry: TargetEntry) -> list[Any]:
-    """Return an entry's row; without `born`, where it tells none, older nodes read it too."""
+    """Return an entry's row; an unknown `born` is left out, so that older nodes can read it."""
     return list(entry) if entry.born else list(entry[:-1])
 
 
@@ -144,7 +145,7 @@
     ]
     services = [list(service) for service in config.services.values()]
     row = [config.version, routes, services, list(config.limits)]
-    if config.customers:  # without any, older nodes read it too
+    if config.customers:  # left out if empty, so that older nodes can read the row
         row.append([config.customers.salt, config.customers.rows()])
     return row
 
--- a/roadpass/peer_positions.py
+++ b/roadpass/peer_positions.py
@@ -1,4 +1,4 @@
-"""Up to where peers hold a source, and which of them to ask for it next."""
+"""Positions that peers have reached in a source, and the choice of the peer to ask next."""
 
 from roadpass.news import PeerPosition
 from roadpass.position import Position
@@ -6,40 +6,40 @@
 
 
 class PeerPositions:
-    """The newest position of each peer that holds more than this node; pure."""
+    """The newest position of each peer that is ahead of this node; does no I/O."""
 
     def __init__(self) -> None:
         self._peers: dict[str, PeerPosition] = {}
         self._unanswered = Unanswered()
 
     def record(self, peer: PeerPosition) -> None:
-        """Note a peer's position in the place of its last one."""
+        """Store a peer's position, replacing its previous one."""
         self._peers[peer.vm] = peer
 
     def best(self, now: float, watermark: Position) -> PeerPosition | None:
         """Return the peer to ask.
 
-        First come peers that answered when they were asked last, then those of the own data hall:
-        where only some can be reached, they are found soon. Of these the one that holds the most.
+        Peers with the fewest consecutive failures come first, then those of this data hall, so that
+        a reachable peer is found soon if others are not. Among equals the most advanced peer wins.
 
         Args:
             now: Clock seconds.
-            watermark: What this node holds; peers that do not hold more are dropped.
+            watermark: Position of this node; peers that are not ahead of it are dropped.
 
         Returns:
-            `None` if no peer holds more, or none of those has answered lately.
+            The peer, or `None` if no peer is ahead or all of those failed recently.
         """
         self._peers = {vm: p for vm, p in self._peers.items() if p.position > watermark}
         can_be_asked = [p for vm, p in self._peers.items() if not self._unanswered.holds(vm, now)]
         return max(can_be_asked, key=self._rank, default=None)
 
     def fetch_succeeded(self, vm: str) -> None:
-        """Note that a peer told all that it held."""
+        """Record that a peer has sent all that it announced."""
         self._peers.pop(vm, None)
         self._unanswered.answered(vm)
 
     def fetch_failed(self, vm: str, now: float) -> None:
-        """Note that a peer could not be asked at a moment."""
+        """Record a failed request to a peer; it is skipped for a while."""
         self._unanswered.note(vm, now)
 
     def _rank(self, peer: PeerPosition) -> tuple[int, bool, Position, float]:
--- a/roadpass/revived.py
+++ b/roadpass/revived.py
@@ -1,4 +1,4 @@
-"""Entries of targets that were withdrawn, and are back as their source was restored."""
+"""Entries of withdrawn targets that reappear because the source was restored from a backup."""
 
 import math
 from collections.abc import Container
@@ -7,43 +7,46 @@
 from roadpass.source import TargetEntry
 
 RESTORED_HOLD_S = 5.0
-"""Seconds for which such an entry names no target: it lapses again within three heartbeats, 4.5 s,
-unless its target lives."""
+"""Seconds for which such an entry is ignored: unless its target is alive, the entry lapses again
+within three heartbeats, 4.5 s."""
 MAX_REMEMBERED_WITHDRAWN = 10_000
-"""Starts of targets that are remembered as withdrawn, about 0.1 KB each."""
+"""Withdrawn target starts that are remembered, about 0.1 KB each."""
 
 
 class _HeldEntry(NamedTuple):
-    """An entry, and until when it is held."""
+    """An entry that is ignored until a time in clock seconds."""
 
     entry: TargetEntry
     until: float
 
 
 class RestoredEntries:
-    """Holds them until the target has written its entry again, or it has not lapsed; pure."""
+    """Holds such entries back until their targets write them again or they have failed to lapse.
+
+    Has no side effects outside itself and reads no clock.
+    """
 
     def __init__(self) -> None:
         self._withdrawn: dict[str, None] = {}
-        """Names of starts, the latest last."""
+        """Names of target starts, the most recent last."""
         self._held: dict[str, _HeldEntry] = {}
-        """By the id of the target."""
+        """By instance id."""
 
     def remember_withdrawn(self, entry: TargetEntry) -> None:
-        """Note that a target's entry is gone."""
+        """Remember that a target has ended, so that a backup does not bring it back."""
         self._withdrawn.pop(entry.name, None)
         self._withdrawn[entry.name] = None
         if len(self._withdrawn) > MAX_REMEMBERED_WITHDRAWN:
             del self._withdrawn[next(iter(self._withdrawn))]
 
     def hold(self, now: float, entry: TargetEntry, *, restored: bool, full: bool) -> bool:
-        """Tell whether an entry is held.
+        """Return whether an entry is to be ignored for now, and update what is held.
 
         Args:
             now: Clock seconds.
-            entry: As it was read.
-            restored: Whether it is from the first reading since the source was restored.
-            full: Whether it is from a whole reading, in which it may be as old as the backup.
+            entry: The entry as read.
+            restored: Whether it is from the first read since the source was restored.
+            full: Whether it is from a full snapshot, where it may be as old as the backup.
         """
         held = self._held.get(entry.instance)
         if restored and entry.name in self._withdrawn:
@@ -57,16 +60,16 @@
         return False
 
     def discard(self, instance: str) -> None:
-        """Forget what is held of a target, as its entry is gone or was written again."""
+        """Drop the held entry of a target, as it is gone or was written again."""
         self._held.pop(instance, None)
 
     def discard_others(self, instances: Container[str]) -> None:
-        """Forget what is held of targets that a whole reading does not name."""
+        """Drop the held entries of targets that a full snapshot does not contain."""
         for instance in [name for name in self._held if name not in instances]:
             self.discard(instance)
 
     def release(self, now: float) -> list[TargetEntry]:
-        """Return the entries that have not lapsed in time, and hold them no longer."""
+        """Remove and return the entries that have not lapsed in time: their targets are alive."""
         expired = [held.entry for held in self._held.values() if held.until <= now]
         for entry in expired:
             del self._held[entry.instance]
@@ -74,5 +77,5 @@
         return expired
 
     def next_release_at(self) -> float:
-        """Return the clock seconds at which the next entry is released, infinite for none."""
+        """Return the clock seconds at which the next entry is due, infinite if there is none."""
         return min((held.until for held in self._held.values()), default=math.inf)
--- a/roadpass/source.py
+++ b/roadpass/source.py
@@ -1,8 +1,7 @@
-"""What a node reads of the fleet from outside: typed values, and the interface of a source.
+"""The interface of a source of fleet data, and the typed values read from it.
 
-A source is read by `snapshot` once and then by `watch`, which brings what has changed since a
-position in its history. Where these values come from, and how they are written there, only the
-source knows.
+A source is read by `snapshot` once and then by `watch`, which returns what has changed since a
+position in its history. Where the values are stored, and in which format, is up to the source.
 """
 
 from collections.abc import Mapping
@@ -16,10 +15,10 @@
 
 
 class PublishedService(NamedTuple):
-    """A service as it is published.
+    """A service in the published configuration.
 
     Args:
-        max_connections: Most connections that one of its targets takes from all callers together.
+        max_connections: Limit on the connections of one of its targets, over all callers.
     """
 
     name: str
@@ -27,13 +26,13 @@
 
 
 class PublishedConfig(NamedTuple):
-    """One version of the configuration, in whole.
+    """One complete version of the configuration.
 
     Args:
-        version: Rises with every version.
-        routes: Their `traffic_class` is a priority as text, the most important first when sorted.
-        limits: What callers may send.
-        customers: Whose keys callers show; without any, nobody needs one.
+        version: Increases with every version.
+        routes: Their `traffic_class` is a priority as text that sorts the most important first.
+        limits: Limits on requests of callers.
+        customers: Customers whose API keys callers present; if empty, no key is needed.
     """
 
     version: int
@@ -44,16 +43,16 @@
 
 
 class TargetEntry(NamedTuple):
-    """A target as it says of itself.
+    """A target's own description of itself.
 
     Args:
-        instance: Its id, by which requests name the target that is meant.
+        instance: Its id, by which requests name the target they are meant for.
         address: `ip:port`.
         hall: Its data hall.
-        slots: Requests it works on at a time.
-        leaving: Whether it takes no new work.
-        born: Unix millisecond of its start, which tells apart its starts under one id; 0 where it
-            tells none, which is neither earlier nor later than any.
+        slots: Number of requests that it processes concurrently.
+        leaving: Whether it accepts no new requests.
+        born: Unix milliseconds of its start, which distinguish starts under one id; 0 if unknown,
+            which is neither earlier nor later than any other.
     """
 
     instance: str
@@ -66,45 +65,46 @@
 
     @property
     def name(self) -> str:
-        """The name of this incarnation, under which all is held that is known of it.
+        """The name of this start, under which all state about it is kept.
 
-        A start under an id that was seen before has another name, so belief, door, limit, load,
-        counts and connections begin anew, and attempts meant for the earlier one are refused.
+        Each start of an instance id has its own name, so health estimate, circuit breaker, limit,
+        load, counters and connections begin anew, and attempts meant for an earlier start are
+        refused.
         """
         return f"{self.instance}@{self.born}" if self.born else self.instance
 
     @property
     def vm(self) -> str:
-        """The VM it lives on, which is named by its IP number."""
+        """The target's VM, which is identified by its IP address."""
         return self.address.rpartition(":")[0]
 
 
 class ConfigPublished(NamedTuple):
-    """A configuration is in the source."""
+    """The source has a configuration, new or not."""
 
     config: PublishedConfig
 
 
 class TargetPublished(NamedTuple):
-    """A target's entry is new or has changed."""
+    """A target's entry was written; its content may be unchanged."""
 
     entry: TargetEntry
 
 
 class TargetWithdrawn(NamedTuple):
-    """A target's entry is gone."""
+    """A target's entry was deleted or has lapsed."""
 
     instance: str
 
 
 class InvalidItem(NamedTuple):
-    """An item that makes no sense.
+    """An item that cannot be interpreted.
 
     Args:
         key: Of the item.
         why: What is wrong with it.
-        instance: The target of which it would be the entry, empty if of none. It names no target
-            to use any more: an entry that somebody else wrote over tells nothing of its target.
+        instance: The target whose entry it would be, empty if none. That target is no longer used:
+            an overwritten entry says nothing about it.
     """
 
     key: str
@@ -116,12 +116,12 @@
 
 
 class Changes(NamedTuple):
-    """What happened up to a position in the source's history.
+    """The result of a read, up to a position in the source's history.
 
     Args:
-        position: Where to go on from.
+        position: Where the next read continues.
         changes: In the order in which they happened.
-        full: Whether this is all there is, so that whatever it does not name is gone.
+        full: Whether this is a full snapshot, so that anything it does not contain is gone.
     """
 
     position: Position
@@ -130,34 +130,34 @@
 
 
 class HistoryLostError(PlatformError):
-    """The source cannot tell what happened since a position: it forgot, or was restored since."""
+    """The history since a position is lost: it was discarded, or the source was restored since."""
 
 
 class Source(Protocol):
-    """Where a node reads the fleet."""
+    """A read-only source of fleet data; its calls may block."""
 
     def stale_snapshot(self) -> Changes:
-        """Return what there was a while ago, at a small price; good only for finding peers.
+        """Return a cheap snapshot that may be stale; use it only to find peers.
 
         Raises:
             PlatformError: The source cannot be read.
         """
 
     def snapshot(self) -> Changes:
-        """Return all that there is now.
+        """Return a full snapshot of the current content.
 
         Raises:
             PlatformError: The source cannot be read.
         """
 
     def watch(self, after: Position, wait_s: float) -> Changes:
-        """Wait for what happens after a position.
+        """Wait for changes after a position.
 
         Args:
-            after: The position; what is returned is of the same era.
-            wait_s: Seconds after which to return although nothing happened.
+            after: The position; the result is of the same era.
+            wait_s: Seconds after which to return even without changes.
 
         Raises:
-            HistoryLostError: Only a snapshot can tell now.
+            HistoryLostError: A new snapshot is needed.
             PlatformError: The source cannot be read.
         """
--- a/roadpass/unusable.py
+++ b/roadpass/unusable.py
@@ -1,4 +1,4 @@
-"""Audit of a source's items that make no sense: once each, until that changes."""
+"""Audit of invalid items in a source: one record per item and reason."""
 
 from collections.abc import Iterable
 
@@ -7,7 +7,7 @@
 
 
 class InvalidItemAudit:
-    """The items that are left out, by target or key.
+    """Records ignored items, identified by target or key; repeated reads of one are not recorded.
 
     Args:
         audit: The audit trail.
@@ -20,12 +20,12 @@
     def report(
         self, changes: Iterable[Change], invalid: Iterable[InvalidItem], *, full: bool
     ) -> None:
-        """Record each item that was not known to make no sense for this reason.
+        """Record each item that was not already known to be invalid for the same reason.
 
         Args:
-            changes: What the source told.
-            invalid: Of that, what cannot be used.
-            full: Whether the source named all it has.
+            changes: The update.
+            invalid: The invalid items in it.
+            full: Whether the update is a full snapshot, so that items missing in it are gone.
         """
         known = self._reasons
         if full:
--- a/tests/test_catalogue.py
+++ b/tests/test_catalogue.py
@@ -1,4 +1,4 @@
-"""What a node holds of a source: versions only rise, and lapsed entries get time to return."""
+"""A node's copy of a source: versions only increase, and lapsed entries have time to return."""
 
 import math
 
@@ -46,8 +46,8 @@
 
 
 @pytest.fixture
-def held() -> Catalogue:
-    """Return a catalogue with one target of each service, and one of a service nobody knows."""
+def catalogue() -> Catalogue:
+    """Return a catalogue with one target of each service, and one of an unknown service."""
     catalogue = Catalogue(Policy(0.7, 0.2, 10.0))
     entries = (target("t1"), target("t2", service="b"), target("t3", service="unknown"))
     assert catalogue.apply(0.0, Changes(Position(0, 3), (config(5), *entries), full=True)) == (
@@ -57,9 +57,9 @@
     return catalogue
 
 
-def test_the_fleet_is_built_of_both(held: Catalogue) -> None:
-    """Targets of unknown services are left out; floors follow the slots."""
-    fleet = held.fleet()
+def test_the_fleet_is_built_from_configuration_and_targets(catalogue: Catalogue) -> None:
+    """Targets of unknown services are left out; floors are a share of the slots."""
+    fleet = catalogue.fleet()
     assert fleet.revision == 5
     assert set(fleet.targets) == {"t1", "t2"}
     assert fleet.targets["t1"].instance == "t1"
@@ -70,117 +70,123 @@
 
 
 @pytest.mark.parametrize("version", [4, 5])
-def test_a_version_that_is_not_newer_is_not_taken(held: Catalogue, version: int) -> None:
-    """Whatever a stale or forgetful source says."""
-    assert held.apply(1.0, Changes(Position(0, 4), (config(version),))) == (False, [])
-    assert held.fleet().revision == 5
+def test_a_version_that_is_not_newer_is_ignored(catalogue: Catalogue, version: int) -> None:
+    """A source that is stale or has lost writes does not replace a newer configuration."""
+    assert catalogue.apply(1.0, Changes(Position(0, 4), (config(version),))) == (False, [])
+    assert catalogue.fleet().revision == 5
 
 
-def test_a_withdrawn_target_goes_after_a_moment(held: Catalogue) -> None:
-    """Not at once, and not later than it must."""
-    held.apply(1.0, Changes(Position(0, 4), (TargetWithdrawn("t1"),)))
-    assert "t1" in held.fleet().targets
-    assert held.next_expiry_s(1.0) == pytest.approx(WITHDRAWN_GRACE_S)
-    assert not held.expire(1.0 + WITHDRAWN_GRACE_S / 2)
-    assert held.expire(1.0 + WITHDRAWN_GRACE_S)
-    assert "t1" not in held.fleet().targets
+def test_a_withdrawn_target_is_removed_after_a_grace_period(catalogue: Catalogue) -> None:
+    """It stays for the grace period and no longer."""
+    catalogue.apply(1.0, Changes(Position(0, 4), (TargetWithdrawn("t1"),)))
+    assert "t1" in catalogue.fleet().targets
+    assert catalogue.next_expiry_s(1.0) == pytest.approx(WITHDRAWN_GRACE_S)
+    assert not catalogue.expire(1.0 + WITHDRAWN_GRACE_S / 2)
+    assert catalogue.expire(1.0 + WITHDRAWN_GRACE_S)
+    assert "t1" not in catalogue.fleet().targets
 
 
-def test_a_target_that_is_back_stays(held: Catalogue) -> None:
-    """Its entry had lapsed."""
-    held.apply(1.0, Changes(Position(0, 4), (TargetWithdrawn("t1"),)))
-    held.apply(1.2, Changes(Position(0, 5), (target("t1"),)))
-    assert not held.expire(9.0)
-    assert "t1" in held.fleet().targets
+def test_a_target_that_returns_in_the_grace_period_stays(catalogue: Catalogue) -> None:
+    """Its entry had only lapsed."""
+    catalogue.apply(1.0, Changes(Position(0, 4), (TargetWithdrawn("t1"),)))
+    catalogue.apply(1.2, Changes(Position(0, 5), (target("t1"),)))
+    assert not catalogue.expire(9.0)
+    assert "t1" in catalogue.fleet().targets
 
 
-def test_entries_that_lapsed_while_the_source_was_away_get_time_to_return(
-    held: Catalogue,
+def test_entries_that_lapsed_while_the_source_was_unavailable_get_time_to_return(
+    catalogue: Catalogue,
 ) -> None:
-    """About two seconds after its return."""
-    held.mark_source_unavailable(10.0)
-    held.apply(10.1, Changes(Position(0, 9), (config(5), target("t2", service="b")), full=True))
-    assert not held.expire(10.0 + REPUBLISH_GRACE_S - 0.1)
-    assert held.expire(10.0 + REPUBLISH_GRACE_S)
-    assert "t1" not in held.fleet().targets
+    """Targets write their entries again about two seconds after the source is back."""
+    catalogue.mark_source_unavailable(10.0)
+    catalogue.apply(
+        10.1, Changes(Position(0, 9), (config(5), target("t2", service="b")), full=True)
+    )
+    assert not catalogue.expire(10.0 + REPUBLISH_GRACE_S - 0.1)
+    assert catalogue.expire(10.0 + REPUBLISH_GRACE_S)
+    assert "t1" not in catalogue.fleet().targets
 
 
-def restore(held: Catalogue, now: float, *named: TargetPublished, revision: int = 3) -> None:
-    """Take the first whole reading of a restored source."""
+def restore(catalogue: Catalogue, now: float, *named: TargetPublished, revision: int = 3) -> None:
+    """Apply the first full snapshot of a restored source."""
     others = (target("t2", service="b"), target("t3", service="unknown"))
     changes: tuple[Change, ...] = (config(5), *others, *named)
-    held.apply(now, Changes(Position(1, revision), changes, full=True))
+    catalogue.apply(now, Changes(Position(1, revision), changes, full=True))
 
 
 @pytest.fixture
-def withdrawn(held: Catalogue) -> Catalogue:
-    """Return a catalogue in which a target's entry is gone, and its time over."""
-    held.apply(1.0, Changes(Position(0, 4), (TargetWithdrawn("t1"),)))
-    assert held.expire(1.0 + WITHDRAWN_GRACE_S)
-    return held
-
-
-def test_an_entry_that_a_backup_brings_back_is_held(withdrawn: Catalogue) -> None:
-    """It lapses again if nobody writes it; till then, and after, there is no such target."""
-    restore(withdrawn, 10.0, target("t1"))
-    assert "t1" not in withdrawn.targets
-    restore(withdrawn, 11.0, target("t1"), revision=4)
-    assert "t1" not in withdrawn.targets
-    withdrawn.apply(14.0, Changes(Position(1, 5), (TargetWithdrawn("t1"),)))
-    assert not withdrawn.expire(10.0 + RESTORED_HOLD_S)
-    assert "t1" not in withdrawn.targets
-
-
-def test_an_entry_that_is_missing_again_is_held_no_longer(withdrawn: Catalogue) -> None:
-    """A later whole reading does not name it."""
-    restore(withdrawn, 10.0, target("t1"))
-    restore(withdrawn, 12.0, revision=6)
-    assert not withdrawn.expire(10.0 + RESTORED_HOLD_S)
-    assert "t1" not in withdrawn.targets
-
-
-def test_a_target_that_writes_its_entry_again_is_back_at_once(withdrawn: Catalogue) -> None:
-    """Only a backup is no proof that it lives."""
-    restore(withdrawn, 10.0, target("t1"))
-    assert withdrawn.apply(10.5, Changes(Position(1, 4), (target("t1"),))) == (True, [])
-    assert "t1" in withdrawn.targets
-
-
-def test_an_entry_that_does_not_lapse_is_taken(withdrawn: Catalogue) -> None:
-    """Its target keeps it, and was withdrawn only as it could not reach the source."""
-    restore(withdrawn, 10.0, target("t1"))
-    assert withdrawn.next_expiry_s(10.0) == pytest.approx(RESTORED_HOLD_S)
-    assert not withdrawn.expire(10.0 + RESTORED_HOLD_S / 2.0)
-    assert withdrawn.expire(10.0 + RESTORED_HOLD_S)
-    assert "t1" in withdrawn.targets
-
-
-def test_an_entry_that_one_backup_lacks_and_the_next_has_is_taken(held: Catalogue) -> None:
-    """That a backup lacks it is no sign that its target has ended."""
-    restore(held, 1.0)
-    assert "t1" in held.targets
+def withdrawn_catalogue(catalogue: Catalogue) -> Catalogue:
+    """Return a catalogue from which a withdrawn target was removed after its grace period."""
+    catalogue.apply(1.0, Changes(Position(0, 4), (TargetWithdrawn("t1"),)))
+    assert catalogue.expire(1.0 + WITHDRAWN_GRACE_S)
+    return catalogue
+
+
+def test_an_entry_that_a_backup_brings_back_is_held_back(withdrawn_catalogue: Catalogue) -> None:
+    """It lapses again if its target does not write it; the target is never put in service."""
+    restore(withdrawn_catalogue, 10.0, target("t1"))
+    assert "t1" not in withdrawn_catalogue.targets
+    restore(withdrawn_catalogue, 11.0, target("t1"), revision=4)
+    assert "t1" not in withdrawn_catalogue.targets
+    withdrawn_catalogue.apply(14.0, Changes(Position(1, 5), (TargetWithdrawn("t1"),)))
+    assert not withdrawn_catalogue.expire(10.0 + RESTORED_HOLD_S)
+    assert "t1" not in withdrawn_catalogue.targets
+
+
+def test_a_restored_entry_that_is_missing_later_is_dropped(withdrawn_catalogue: Catalogue) -> None:
+    """A later full snapshot does not contain it."""
+    restore(withdrawn_catalogue, 10.0, target("t1"))
+    restore(withdrawn_catalogue, 12.0, revision=6)
+    assert not withdrawn_catalogue.expire(10.0 + RESTORED_HOLD_S)
+    assert "t1" not in withdrawn_catalogue.targets
+
+
+def test_a_target_that_writes_its_entry_again_is_back_at_once(
+    withdrawn_catalogue: Catalogue,
+) -> None:
+    """A write proves that the target is alive; its entry in a backup does not."""
+    restore(withdrawn_catalogue, 10.0, target("t1"))
+    assert withdrawn_catalogue.apply(10.5, Changes(Position(1, 4), (target("t1"),))) == (True, [])
+    assert "t1" in withdrawn_catalogue.targets
+
+
+def test_a_restored_entry_that_does_not_lapse_is_used(withdrawn_catalogue: Catalogue) -> None:
+    """Its target renews it; it was withdrawn only because the target could not reach the source."""
+    restore(withdrawn_catalogue, 10.0, target("t1"))
+    assert withdrawn_catalogue.next_expiry_s(10.0) == pytest.approx(RESTORED_HOLD_S)
+    assert not withdrawn_catalogue.expire(10.0 + RESTORED_HOLD_S / 2.0)
+    assert withdrawn_catalogue.expire(10.0 + RESTORED_HOLD_S)
+    assert "t1" in withdrawn_catalogue.targets
+
+
+def test_an_entry_that_one_backup_lacks_and_the_next_has_is_used(catalogue: Catalogue) -> None:
+    """Its absence from a backup does not mean that its target has ended."""
+    restore(catalogue, 1.0)
+    assert "t1" in catalogue.targets
     changes = (config(5), target("t1"), target("t2", service="b"))
-    held.apply(2.0, Changes(Position(2, 3), changes, full=True))
-    held.expire(2.0 + REPUBLISH_GRACE_S)
-    assert "t1" in held.targets
+    catalogue.apply(2.0, Changes(Position(2, 3), changes, full=True))
+    catalogue.expire(2.0 + REPUBLISH_GRACE_S)
+    assert "t1" in catalogue.targets
 
 
-def test_another_start_than_the_withdrawn_one_is_taken(withdrawn: Catalogue) -> None:
-    """What is held is of one start only."""
-    restore(withdrawn, 10.0, target("t1"))
-    restore(withdrawn, 11.0, target("t1", born=7), revision=4)
-    assert withdrawn.targets["t1"].born == 7
+def test_another_start_than_the_withdrawn_one_is_used(withdrawn_catalogue: Catalogue) -> None:
+    """Only the entry of the withdrawn start is held back."""
+    restore(withdrawn_catalogue, 10.0, target("t1"))
+    restore(withdrawn_catalogue, 11.0, target("t1", born=7), revision=4)
+    assert withdrawn_catalogue.targets["t1"].born == 7
 
 
-def test_an_entry_that_is_back_without_a_restoration_is_taken(withdrawn: Catalogue) -> None:
-    """It had lapsed; a whole reading in the same era is of now."""
+def test_an_entry_that_is_back_without_a_restoration_is_used(
+    withdrawn_catalogue: Catalogue,
+) -> None:
+    """It had lapsed; a full snapshot in the same era is current."""
     changes = (config(5), target("t1"), target("t2", service="b"))
-    withdrawn.apply(10.0, Changes(Position(0, 9), changes, full=True))
-    assert "t1" in withdrawn.targets
+    withdrawn_catalogue.apply(10.0, Changes(Position(0, 9), changes, full=True))
+    assert "t1" in withdrawn_catalogue.targets
 
 
-def test_the_withdrawn_starts_that_are_remembered_are_bounded() -> None:
-    """The latest are kept."""
+def test_the_number_of_remembered_withdrawn_starts_is_bounded() -> None:
+    """The oldest are evicted first."""
     catalogue = Catalogue(Policy())
     entries = tuple(target(f"t{n}") for n in (0, *range(9, MAX_REMEMBERED_WITHDRAWN + 9)))
     catalogue.apply(0.0, Changes(Position(0, 3), (config(5), *entries), full=True))
@@ -191,81 +197,84 @@
     assert set(catalogue.targets) == {"t0", "t2", "t3"}
 
 
-def test_a_leaving_target_is_leaving_at_once(held: Catalogue) -> None:
-    """What it says itself needs no time."""
-    assert held.apply(1.0, Changes(Position(0, 4), (target("t1", leaving=True),))) == (True, [])
-    assert held.fleet().targets["t1"].leaving
+def test_a_leaving_target_is_leaving_at_once(catalogue: Catalogue) -> None:
+    """A target that announces that it leaves needs no grace period."""
+    assert catalogue.apply(1.0, Changes(Position(0, 4), (target("t1", leaving=True),))) == (
+        True,
+        [],
+    )
+    assert catalogue.fleet().targets["t1"].leaving
 
 
 @pytest.mark.parametrize("full", [False, True])
-def test_an_entry_that_makes_no_sense_names_no_target(held: Catalogue, full: bool) -> None:
-    """Whoever wrote it: its target goes as if the entry were gone, and the others hold."""
+def test_an_invalid_entry_withdraws_its_target(catalogue: Catalogue, full: bool) -> None:
+    """The target is removed as if its entry were gone; the others stay."""
     bad = InvalidItem("servers/t1", "nonsense", "t1")
     others = (target("t2", service="b"), target("t3", service="unknown"))
-    changed, invalid = held.apply(1.0, Changes(Position(0, 4), (bad, *others), full=full))
+    changed, invalid = catalogue.apply(1.0, Changes(Position(0, 4), (bad, *others), full=full))
     assert (changed, invalid) == (False, [bad])
-    assert held.expire(1.0 + WITHDRAWN_GRACE_S)
-    assert set(held.targets) == {"t2", "t3"}
+    assert catalogue.expire(1.0 + WITHDRAWN_GRACE_S)
+    assert set(catalogue.targets) == {"t2", "t3"}
 
 
-def test_a_target_whose_entry_can_be_read_again_is_back(held: Catalogue) -> None:
-    """It writes its entry anew with every heartbeat, whatever somebody else wrote there."""
-    held.apply(1.0, Changes(Position(0, 4), (InvalidItem("servers/t1", "nonsense", "t1"),)))
-    held.apply(1.2, Changes(Position(0, 5), (target("t1"),)))
-    assert not held.expire(9.0)
-    assert "t1" in held.targets
+def test_a_target_whose_entry_is_valid_again_is_back(catalogue: Catalogue) -> None:
+    """A target writes its entry with every heartbeat, which repairs what others wrote there."""
+    catalogue.apply(1.0, Changes(Position(0, 4), (InvalidItem("servers/t1", "nonsense", "t1"),)))
+    catalogue.apply(1.2, Changes(Position(0, 5), (target("t1"),)))
+    assert not catalogue.expire(9.0)
+    assert "t1" in catalogue.targets
 
 
-def test_an_item_without_a_readable_key_concerns_no_target(held: Catalogue) -> None:
-    """A key that only ends like an id is none of it."""
-    held.apply(
+def test_an_invalid_item_without_a_target_key_affects_no_target(catalogue: Catalogue) -> None:
+    """Neither an item without a key nor a key under another prefix names a target."""
+    catalogue.apply(
         1.0, Changes(Position(0, 4), (InvalidItem("", "no key"), InvalidItem("other/t1", "noise")))
     )
-    assert not held.expire(9.0)
-    assert set(held.targets) == {"t1", "t2", "t3"}
+    assert not catalogue.expire(9.0)
+    assert set(catalogue.targets) == {"t1", "t2", "t3"}
 
 
-def test_a_later_start_under_the_same_id_is_another_target(held: Catalogue) -> None:
-    """All that was known of the earlier one is held under its own name."""
-    held.apply(1.0, Changes(Position(0, 4), (target("t1", born=7),)))
-    held.apply(2.0, Changes(Position(0, 5), (target("t1", born=9),)))
-    fleet = held.fleet()
+def test_a_later_start_under_the_same_id_is_another_target(catalogue: Catalogue) -> None:
+    """State about the earlier start is kept under that start's own name."""
+    catalogue.apply(1.0, Changes(Position(0, 4), (target("t1", born=7),)))
+    catalogue.apply(2.0, Changes(Position(0, 5), (target("t1", born=9),)))
+    fleet = catalogue.fleet()
     assert {"t1@9", "t2"} == set(fleet.targets)
     assert fleet.targets["t1@9"].instance == "t1"
 
 
 @pytest.mark.parametrize("full", [False, True])
 @pytest.mark.parametrize("withdrawn", [False, True])
-def test_an_earlier_start_that_is_heard_late_does_not_come_back(
-    held: Catalogue, full: bool, withdrawn: bool
+def test_an_earlier_start_that_arrives_late_does_not_come_back(
+    catalogue: Catalogue, full: bool, withdrawn: bool
 ) -> None:
-    """From a peer, a stale reading or after a lost history; also once the later one is gone."""
-    held.apply(1.0, Changes(Position(0, 4), (target("t1", born=9),)))
+    """Late entries come from peers, stale reads or lost histories, also after the later start."""
+    catalogue.apply(1.0, Changes(Position(0, 4), (target("t1", born=9),)))
     if withdrawn:
-        held.apply(2.0, Changes(Position(0, 5), (TargetWithdrawn("t1"),)))
-        assert held.expire(2.0 + WITHDRAWN_GRACE_S)
+        catalogue.apply(2.0, Changes(Position(0, 5), (TargetWithdrawn("t1"),)))
+        assert catalogue.expire(2.0 + WITHDRAWN_GRACE_S)
     for born in (7, 8):
         old = target("t1", born=born)
-        held.apply(4.0, Changes(Position(0, 6), (old, target("t2", service="b")), full=full))
-        held.expire(9.0)
-        assert set(held.fleet().targets) == ({"t2"} if withdrawn else {"t1@9", "t2"})
-
-
-def test_an_entry_that_tells_no_start_is_neither_newer_nor_older(held: Catalogue) -> None:
-    """It is of the start that is known, what else it says counts, and it comes after one gone."""
-    held.apply(1.0, Changes(Position(0, 4), (target("t1", born=9),)))
-    held.apply(2.0, Changes(Position(0, 5), (target("t1", leaving=True),)))
-    assert held.fleet().targets["t1@9"].leaving
-    held.apply(3.0, Changes(Position(0, 6), (TargetWithdrawn("t1"),)))
-    assert held.expire(3.0 + WITHDRAWN_GRACE_S)
-    held.apply(4.0, Changes(Position(0, 7), (target("t1"),)))
-    assert set(held.fleet().targets) == {"t1", "t2"}
-    held.apply(5.0, Changes(Position(0, 8), (target("t1", born=11),)))
-    assert set(held.fleet().targets) == {"t1@11", "t2"}
-
-
-def test_the_starts_that_are_remembered_are_bounded() -> None:
-    """The latest are kept: what is heard late is heard soon after."""
+        catalogue.apply(4.0, Changes(Position(0, 6), (old, target("t2", service="b")), full=full))
+        catalogue.expire(9.0)
+        assert set(catalogue.fleet().targets) == ({"t2"} if withdrawn else {"t1@9", "t2"})
+
+
+def test_an_entry_without_a_start_time_is_neither_newer_nor_older(catalogue: Catalogue) -> None:
+    """It counts as the known start, or as a new one after that is gone; its other fields apply."""
+    catalogue.apply(1.0, Changes(Position(0, 4), (target("t1", born=9),)))
+    catalogue.apply(2.0, Changes(Position(0, 5), (target("t1", leaving=True),)))
+    assert catalogue.fleet().targets["t1@9"].leaving
+    catalogue.apply(3.0, Changes(Position(0, 6), (TargetWithdrawn("t1"),)))
+    assert catalogue.expire(3.0 + WITHDRAWN_GRACE_S)
+    catalogue.apply(4.0, Changes(Position(0, 7), (target("t1"),)))
+    assert set(catalogue.fleet().targets) == {"t1", "t2"}
+    catalogue.apply(5.0, Changes(Position(0, 8), (target("t1", born=11),)))
+    assert set(catalogue.fleet().targets) == {"t1@11", "t2"}
+
+
+def test_the_number_of_remembered_starts_is_bounded() -> None:
+    """The oldest are evicted first: entries that arrive late arrive soon after."""
     catalogue = Catalogue(Policy())
     entries = tuple(target(f"t{n}", born=5) for n in range(MAX_REMEMBERED_STARTS + 1))
     catalogue.apply(0.0, Changes(Position(0, 3), (config(5), *entries), full=True))
@@ -276,8 +285,8 @@
     assert set(catalogue.targets) == {"t0"}
 
 
-def test_the_doors_of_a_service_share_out_what_the_fleet_may_repeat() -> None:
-    """Together no more than the slack of a window; an ingress keeps no part of its own."""
+def test_the_targets_of_a_service_share_the_retries_of_the_fleet() -> None:
+    """Together they get no more than the slack of a window; ingresses have no part of their own."""
     catalogue = Catalogue(Policy(0.7, 0.2, 60.0, 10.0))
     entries = [
         TargetPublished(TargetEntry(f"t{n}", "a", f"10.0.0.{n}:80", "h", 4, leaving=False))
@@ -291,27 +300,27 @@
     assert service.retry_burst == math.inf
 
 
-def test_the_operators_weight_of_bytes_between_data_halls_holds_for_every_service() -> None:
-    """It is a setting of the store's nodes, as prices differ."""
+def test_the_configured_cost_of_bytes_between_data_halls_applies_to_every_service() -> None:
+    """It is a setting of the nodes that use a store, as prices differ."""
     catalogue = Catalogue(Policy(far_loss_per_kb=0.02))
     catalogue.apply(0.0, Changes(Position(0, 3), (config(5), target("t1")), full=True))
     assert {service.far_loss_per_kb for service in catalogue.fleet().services.values()} == {0.02}
 
 
-def test_a_customers_class_goes_before_the_routes_and_the_routes_counts_among_equals() -> None:
-    """Requests that are nobody's, such as calls of targets, count as their route says."""
-    urgent, usual = (
+def test_requests_are_ordered_by_customer_class_and_then_by_route_class() -> None:
+    """Requests without a customer, such as calls of targets, are ordered by their route alone."""
+    urgent, normal = (
         Route(name, "h", f"/{name}/", frozenset(), "a", name, True, {}, None)
         for name in ("p000", "p001")
     )
     large, small = Customer("large", "p001"), Customer("small", "p002")
     customers = Customers.from_keys([(large, ("k1",)), (small, ("k2",)), (Customer("any"), ())])
     services = {"a": PublishedService("a", 9)}
-    made = PublishedConfig(9, (urgent, usual), services, CallerLimits(), customers)
+    made = PublishedConfig(9, (urgent, normal), services, CallerLimits(), customers)
     service = build_fleet(made, (), Policy()).services["a"]
     order = [entry.name for entry in service.classes]
-    asked = [(urgent, None), (urgent, large), (usual, large), (urgent, small), (usual, small)]
-    places = [order.index(service.class_of(route, customer)) for route, customer in asked]
-    assert places == sorted(set(places))
-    assert service.class_of(usual, None) == service.class_of(usual, Customer("any"))
-    assert service.class_of(usual, None) == service.class_of(usual, large)
+    asked = [(urgent, None), (urgent, large), (normal, large), (urgent, small), (normal, small)]
+    ranks = [order.index(service.class_of(route, customer)) for route, customer in asked]
+    assert ranks == sorted(set(ranks))
+    assert service.class_of(normal, None) == service.class_of(normal, Customer("any"))
+    assert service.class_of(normal, None) == service.class_of(normal, large)
--- a/tests/test_monotonic.py
+++ b/tests/test_monotonic.py
@@ -1,4 +1,4 @@
-"""Readings of a source never go back."""
+"""Reads of a source never return to an older state."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -32,7 +32,7 @@
     st.builds(target, st.sampled_from("ab"), leaving=st.booleans(), born=st.integers(0, 2)),
     st.sampled_from("ab").map(TargetWithdrawn),
 )
-readings = st.lists(
+updates = st.lists(
     st.builds(
         Changes,
         st.builds(Position, st.integers(0, 3), st.integers(1, 9)),
@@ -43,16 +43,16 @@
 )
 
 
-@given(readings)
-def test_nothing_goes_back(told: list[Changes]) -> None:
-    """Whatever the order of readings: versions only rise, and who left has left."""
+@given(updates)
+def test_no_update_undoes_an_earlier_one(drawn: list[Changes]) -> None:
+    """In any order of updates, versions only increase and leaving targets keep leaving."""
     reads = MonotonicReads()
     version = 0
     left: set[str] = set()
-    for reading in told:
-        taken = reads.apply(reading)
-        assert (taken.position, taken.full) == (reading.position, reading.full)
-        for change in taken.changes:
+    for update in drawn:
+        applied = reads.apply(update)
+        assert (applied.position, applied.full) == (update.position, update.full)
+        for change in applied.changes:
             match change:
                 case ConfigPublished(config=config):
                     assert config.version >= version
@@ -62,30 +62,30 @@
                     left |= {entry.name} if entry.leaving else set()
 
 
-@given(readings)
-def test_what_only_rises_is_taken_as_it_is(told: list[Changes]) -> None:
-    """Each reading that names a configuration no older and nobody who left is left alone."""
+@given(updates)
+def test_an_update_without_older_content_is_unchanged(drawn: list[Changes]) -> None:
+    """It has no older configuration and no entry of a target that has announced its leaving."""
     reads = MonotonicReads()
     version = 0
     left: set[str] = set()
-    for reading in told:
-        configs = [c.config.version for c in reading.changes if isinstance(c, ConfigPublished)]
-        entries = [c.entry for c in reading.changes if isinstance(c, TargetPublished)]
+    for update in drawn:
+        configs = [c.config.version for c in update.changes if isinstance(c, ConfigPublished)]
+        entries = [c.entry for c in update.changes if isinstance(c, TargetPublished)]
         rises = [version, *configs] == sorted([version, *configs])
         ready = {entry.name for entry in entries if not entry.leaving}
         left |= {entry.name for entry in entries if entry.leaving}
-        expected: tuple[Change, ...] = reading.changes
-        if reading.full and not configs and version:
+        expected: tuple[Change, ...] = update.changes
+        if update.full and not configs and version:
             expected = (*expected, config(version))
         if rises and not ready & left:
-            assert reads.apply(reading).changes == expected
+            assert reads.apply(update).changes == expected
         else:
-            reads.apply(reading)
+            reads.apply(update)
         version = max([version, *configs])
 
 
-def test_a_whole_reading_without_a_configuration_has_the_newest() -> None:
-    """The backup may be older than the first one; who asks this node gets what it holds."""
+def test_a_full_snapshot_without_a_configuration_gets_the_newest() -> None:
+    """A backup may predate the first configuration, and peers are served from the update."""
     reads = MonotonicReads()
     reads.apply(Changes(Position(0, 3), (config(7),)))
     assert reads.apply(Changes(Position(1, 1), (), full=True)).changes == (config(7),)
@@ -93,15 +93,15 @@
 
 
 def test_another_start_under_the_same_id_is_ready() -> None:
-    """Only the start that said so leaves."""
+    """Only the start that announced it is leaving."""
     reads = MonotonicReads()
     reads.apply(Changes(Position(0, 3), (target("a", leaving=True, born=7),)))
     again = Changes(Position(1, 1), (target("a", born=7), target("a", born=9)))
     assert reads.apply(again).changes == (target("a", leaving=True, born=7), target("a", born=9))
 
 
-def test_the_starts_that_are_remembered_are_bounded() -> None:
-    """The latest are kept."""
+def test_the_number_of_remembered_starts_is_bounded() -> None:
+    """The oldest are evicted first."""
     reads = MonotonicReads()
     entries = tuple(target(f"t{n}", leaving=True) for n in range(MAX_REMEMBERED_LEAVING + 1))
     reads.apply(Changes(Position(0, 3), entries))
--- a/tests/test_news.py
+++ b/tests/test_news.py
@@ -1,4 +1,4 @@
-"""What nodes tell each other of a source is what the source told them."""
+"""Source updates are unchanged by their transfer between nodes."""
 
 import pytest
 from hypothesis import given
@@ -66,22 +66,22 @@
 
 
 @given(configs, st.lists(entries, max_size=3), st.lists(names, max_size=2), st.booleans())
-def test_news_survive_their_written_form(
+def test_updates_survive_their_wire_format(
     config: PublishedConfig, targets: list[TargetEntry], withdrawn: list[str], full: bool
 ) -> None:
-    """Every field, and the ages."""
+    """Every field is preserved, including the ages."""
     changes: tuple[Change, ...] = (
         ConfigPublished(config),
         *map(TargetPublished, targets),
         *map(TargetWithdrawn, withdrawn),
     )
-    news = SourceUpdate(Changes(Position(2, 7), changes, full=full), 90.0, 80.0)
-    written = unpack(pack(news.to_message(100.0)))
-    assert SourceUpdate.from_message(check(written), 100.0) == news
+    update = SourceUpdate(Changes(Position(2, 7), changes, full=full), 90.0, 80.0)
+    written = unpack(pack(update.to_message(100.0)))
+    assert SourceUpdate.from_message(check(written), 100.0) == update
 
 
 def test_a_node_of_an_earlier_release_is_understood() -> None:
-    """It sends no era and reads none; what it holds is of the first era."""
+    """It neither sends nor reads an era; its state belongs to the first one."""
     message = SourceUpdate(Changes(Position(0, 7), (), full=True), 90.0).to_message(100.0)
     assert "era" not in message
     assert SourceUpdate.from_message(
@@ -101,8 +101,8 @@
         [1, [], [], [1, 2, 3, 4], [b"salt", [["a", None, -1.0, 0.0, []]]]],
     ],
 )
-def test_a_configuration_that_cannot_be_read_is_an_error_of_the_stream(data: object) -> None:
-    """Whatever a peer sends in its place."""
+def test_an_invalid_configuration_is_an_error_of_the_stream(data: object) -> None:
+    """Whatever a peer sends instead of one."""
     message = {"t": "news", "revision": 1, "age_s": 0.0, "whole": True, "targets": []}
     with pytest.raises(FrameError):
         SourceUpdate.from_message({**message, "withdrawn": [], "config": data}, 0.0)
