--- a/roadpass/manifest.py
+++ b/roadpass/manifest.py
@@ -1,4 +1,4 @@
-"""The platform's configuration service: read-only, every call counted."""
+"""Read-only client of the platform's configuration service; every call is counted."""
 
 import json
 from typing import Any, NamedTuple
@@ -11,11 +11,11 @@
 
 CALL_LIMIT_S = 2.0
 CALLS = "platform_calls"
-"""Counter of calls; a waiting watch is one."""
+"""Counter of calls; a watch counts as one however long it waits."""
 
 
 class VmEntry(NamedTuple):
-    """One VM of the platform's list."""
+    """One VM in the platform's list, with the address and ports of its node."""
 
     vm: str
     address: str
@@ -27,7 +27,7 @@
 
 
 class Platform:
-    """Reads manifest, documents and VM list.
+    """Reads the manifest, the documents and the VM list of one service.
 
     Args:
         url: `http://ip:port` of the service.
@@ -40,7 +40,7 @@
         self._pool = urllib3.PoolManager(num_pools=1, maxsize=2, retries=False)
 
     def manifest(self) -> Manifest:
-        """Return the newest manifest the platform shows.
+        """Return the platform's current manifest.
 
         Raises:
             PlatformError: It cannot be read.
@@ -52,7 +52,7 @@
         """Wait for a manifest newer than a revision.
 
         Returns:
-            It, or `None` if the wait passed without one.
+            The manifest, or `None` if there was none within the wait.
 
         Raises:
             PlatformError: It cannot be read.
@@ -62,7 +62,7 @@
         return Manifest.from_text(body.decode("utf-8", "replace")) if body else None
 
     def document(self, entry: DocumentEntry) -> bytes:
-        """Return a document's content; its hash is checked by whoever takes it over.
+        """Return a document's content; the caller has to check its hash.
 
         Raises:
             PlatformError: It cannot be read.
@@ -70,7 +70,7 @@
         return self._get(f"/documents/{entry.name}?hash={entry.hash}", CALL_LIMIT_S)
 
     def vms(self) -> list[VmEntry]:
-        """Return the VM list; it lags.
+        """Return the VM list, which may lag behind the fleet.
 
         Raises:
             PlatformError: It cannot be read.
@@ -79,7 +79,7 @@
         try:
             return [_entry(row) for row in json.loads(body)]
         except (ValueError, KeyError, TypeError) as error:
-            raise PlatformError(f"The VM list is not usable: {error}.") from error
+            raise PlatformError(f"The VM list is invalid: {error}.") from error
 
     def _get(self, path: str, timeout_s: float) -> bytes:
         self._metrics.count(CALLS)
@@ -92,9 +92,9 @@
         if response.status == 204:
             return b""
         if response.status != 200:
-            raise PlatformError(f"The platform answered {response.status} to {path}.")
+            raise PlatformError(f"The platform answered with status {response.status} to {path}.")
         if len(response.data) > MAX_DOCUMENT_BYTES:
-            raise PlatformError(f"The platform's answer to {path} is over a megabyte.")
+            raise PlatformError(f"The platform's response to {path} is larger than 1 MiB.")
         return response.data
 
 
--- a/roadpass/platform/__init__.py
+++ b/roadpass/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The users' platform: its names, formats and calls; nothing here decides anything."""
+"""Adapter for the users' platform: its names, formats and calls, without any decisions."""
--- a/roadpass/platform/decode.py
+++ b/roadpass/platform/decode.py
@@ -1,6 +1,7 @@
-"""From the platform's written forms to the product's types.
+"""Decodes the platform's formats into the types of this package.
 
-Every reading function raises `PlatformError` on what it cannot understand, and on nothing else.
+Every public decoding function but `seconds` raises `PlatformError` on invalid input and nothing
+else; `change` returns an `InvalidItem` instead.
 """
 
 import base64
@@ -33,21 +34,21 @@
 TARGETS_PREFIX = "servers/"
 _UNITS = (("ms", 0.001), ("s", 1.0))
 _INSTANCE = re.compile(r"[!-~]{1,200}")
-"""What may be an id: it goes into a header of each request to its target, so no line ends."""
+"""Allowed instance ids. They are sent in a header of each request, so no line breaks."""
 _PARSE_ERRORS = (
     *(KeyError, TypeError, ValueError, AttributeError, IndexError, OverflowError),
-    RecursionError,  # of values nested too deep to be read
+    RecursionError,  # from JSON nested too deeply
 )
 
 
 def change(item: Any) -> Change | None:
-    """Read one item or event of the store; `None` if it concerns nothing of ours."""
+    """Decode one item or event of the store; `None` if it is not used here."""
     try:
         key = item["TlsKey"]
     except _PARSE_ERRORS as error:
-        return InvalidItem("", f"the item has no key: {error!r}")
+        return InvalidItem("", f"item without a key: {error!r}")
     if not isinstance(key, str):
-        return InvalidItem("", f"the item's key is no text: {key!r:.100}")
+        return InvalidItem("", f"key of the item is not a string: {key!r:.100}")
     instance = key.removeprefix(TARGETS_PREFIX) if key.startswith(TARGETS_PREFIX) else ""
     try:
         if key == CONFIG_KEY:
@@ -62,7 +63,11 @@
 
 
 def config(value: Any) -> PublishedConfig:
-    """Read the operator's configuration."""
+    """Decode the operator's configuration.
+
+    Raises:
+        PlatformError: It is not valid.
+    """
     try:
         limits = value["Limits"]
         return PublishedConfig(
@@ -78,17 +83,21 @@
             customers=_customers(value.get("Tenants")),
         )
     except _PARSE_ERRORS as error:
-        raise PlatformError(f"The configuration makes no sense: {error!r}.") from error
+        raise PlatformError(f"The configuration is invalid: {error!r}.") from error
 
 
 def target(instance: str, value: Any) -> TargetEntry:
-    """Read a target's entry; anybody may have written it, so all that is used is checked."""
+    """Decode a target's entry; anybody may have written it, so every field used is validated.
+
+    Raises:
+        PlatformError: It is not valid.
+    """
     if not _INSTANCE.fullmatch(instance):
-        raise PlatformError("The id is none that a request could name.")
+        raise PlatformError("The instance id cannot be sent in a header.")
     try:
         check_entry.validate(value)
     except fastjsonschema.JsonSchemaValueException as error:
-        raise PlatformError(f"The entry makes no sense: {error.message:.200}.") from error
+        raise PlatformError(f"The entry is invalid: {error.message:.200}.") from error
     info = value["Info"]
     return TargetEntry(
         instance=instance,
@@ -102,24 +111,28 @@
 
 
 def seconds(text: str) -> float:
-    """Read a time such as `1500ms` or `2.5s`."""
+    """Parse a duration such as `1500ms` or `2.5s`.
+
+    Raises:
+        ValueError: It is not a finite, non-negative duration with a unit.
+    """
     for unit, factor in _UNITS:
         if text.endswith(unit):
             value = float(text.removesuffix(unit)) * factor
             if math.isfinite(value) and value >= 0.0:
                 return value
-    raise ValueError(f"'{text}' is no time")
+    raise ValueError(f"'{text}' is not a duration such as 1500ms or 2.5s")
 
 
 def _value(item: Mapping[str, Any]) -> Any:
     try:
         return json.loads(str(base64.b64decode(item["Value"], validate=True), "utf-8"))
     except (*_PARSE_ERRORS, binascii.Error) as error:
-        raise PlatformError(f"The value cannot be read: {error!r}.") from error
+        raise PlatformError(f"The value cannot be decoded: {error!r}.") from error
 
 
 def _rows(table: Mapping[str, Any]) -> Iterator[dict[str, Any]]:
-    """Yield the rows of a table by column; what a row leaves out is missing."""
+    """Yield the rows of a table as dictionaries by column name, without empty cells."""
     columns = table["Columns"]
     for row in table["Rows"]:
         yield {name: cell for name, cell in zip(columns, row, strict=True) if cell is not None}
@@ -147,15 +160,15 @@
 
 
 def _customers(table: Any) -> Customers:
-    """Read the customers; what is wrong with them is said without what may be a key."""
+    """Decode the customers; error messages contain no value that may be an API key."""
     if table is None:
         return Customers()
     try:
         return Customers.from_keys((_customer(row), tuple(row["ApiKeys"])) for row in _rows(table))
     except CustomerError as error:
-        raise PlatformError(f"The customers make no sense: {error}") from error
+        raise PlatformError(f"The customers are invalid: {error}") from error
     except _PARSE_ERRORS as error:
-        raise PlatformError(f"The customers make no sense: {type(error).__name__}.") from None
+        raise PlatformError(f"The customers are invalid: {type(error).__name__}.") from None
 
 
 def _customer(row: Mapping[str, Any]) -> Customer:
@@ -169,7 +182,7 @@
 
 
 def _traffic_class(priority: Any) -> str:
-    """Return the class of a priority: sorted by name, the most important comes first."""
+    """Return the traffic class of a priority; class names sort the most important first."""
     return f"p{int(priority):03d}"
 
 
--- a/roadpass/platform/dialect.py
+++ b/roadpass/platform/dialect.py
@@ -1,4 +1,4 @@
-"""The platform's header names."""
+"""The platform's header names and HTTP conventions."""
 
 from roadpass.dialect import Dialect
 
--- a/roadpass/platform/store.py
+++ b/roadpass/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's metadata store as a source: read-only, every call counted."""
+"""Read-only client of the platform's metadata store, used as a source; every call is counted."""
 
 import json
 from typing import Any
@@ -15,21 +15,21 @@
 from roadpass.source import Change, Changes, HistoryLostError
 
 CALL_LIMIT_S = 1.0
-"""Seconds to wait for an answer beyond what the store was asked to wait; bounds a call that hangs,
-and is far more than the way and the store's work take."""
+"""Timeout of a call in seconds, beyond the time the store was asked to wait. It bounds calls that
+hang and is far more than the network and the store need."""
 CALLS = "platform_calls"
-"""Counter of calls; a waiting watch is one."""
+"""Counter of calls; a watch counts as one however long it waits."""
 MAX_PAGES = 200
-"""Most pages of one reading, about 500 items each."""
+"""Limit on the pages of one snapshot; each has about 500 items."""
 HISTORY_LOST_STATUS = 410
 ERA = "Store-Era"
-"""Header of all answers; it rises by one whenever the store is restored from a backup."""
+"""Header of all responses; increases by one whenever the store is restored from a backup."""
 CHUNK_BYTES = 65536
-"""Most bytes to read at a time."""
+"""Limit on the bytes read from a response at a time."""
 
 
 class StoreClient:
-    """Reads the store at one address.
+    """A `Source` that reads the store at one address; not for concurrent calls.
 
     Args:
         address: `ip:port`.
@@ -43,11 +43,11 @@
         self._era = 0
 
     def stale_snapshot(self) -> Changes:
-        """Return what the store held some seconds ago, for a tenth of the price; see `Source`."""
+        """Return a snapshot that is some seconds old, at a tenth of the cost; see `Source`."""
         return self._range({"AllowStale": "1"})
 
     def snapshot(self) -> Changes:
-        """Return all that the store holds for this fleet; see `Source`."""
+        """Return everything in the store for this fleet; see `Source`."""
         return self._range({})
 
     def _range(self, options: dict[str, str]) -> Changes:
@@ -64,7 +64,7 @@
                 after = str(items[-1]["TlsKey"]) if page.get("HasMore") else ""
                 changes += _changes(items)
             except (KeyError, TypeError, ValueError, IndexError) as error:
-                raise PlatformError(f"The page makes no sense: {error!r}.") from error
+                raise PlatformError(f"The page is invalid: {error!r}.") from error
             if position is not None and position.era != era:
                 raise HistoryLostError("The store was restored between two pages.")
             position = at if position is None else min(position, at)
@@ -73,20 +73,20 @@
         raise PlatformError(f"The store has more than {MAX_PAGES} pages.")
 
     def watch(self, after: Position, wait_s: float) -> Changes:
-        """Wait for what happens after a position; see `Source`."""
+        """Wait for changes after a position; see `Source`."""
         wait_ms = str(int(wait_s * 1000.0))
         fields = {"PathPrefix": "", "after": str(after.revision), "WaitMs": wait_ms}
-        answer, era = self._get("/v1/kv-watch", fields, wait_s + CALL_LIMIT_S)
+        response, era = self._get("/v1/kv-watch", fields, wait_s + CALL_LIMIT_S)
         if era != after.era:
             raise HistoryLostError("The store was restored from a backup.")
         try:
-            position = Position(era, int(answer["AtRev"]))
-            return Changes(position, tuple(_changes(answer.get("events") or ())))
+            position = Position(era, int(response["AtRev"]))
+            return Changes(position, tuple(_changes(response.get("events") or ())))
         except (KeyError, TypeError, ValueError) as error:
-            raise PlatformError(f"The events make no sense: {error!r}.") from error
+            raise PlatformError(f"The events are invalid: {error!r}.") from error
 
     def _get(self, path: str, fields: dict[str, str], timeout_s: float) -> tuple[Any, int]:
-        """Return the body of an answer and the era that it is of."""
+        """Return the decoded body of a response and its era."""
         self._metrics.count(CALLS)
         url = f"{self._url}{path}?{urlencode(fields)}"
         deadline = clock.now() + timeout_s
@@ -100,28 +100,28 @@
             raise PlatformError(f"The store did not answer: {error}.") from error
         era = self._read_era(response.headers.get(ERA))
         if response.status == HISTORY_LOST_STATUS:
-            raise HistoryLostError("The store has forgotten its history.")
+            raise HistoryLostError("The store no longer has the history since that revision.")
         if response.status != 200:
-            raise PlatformError(f"The store answered {response.status}.")
+            raise PlatformError(f"The store answered with status {response.status}.")
         try:
             return json.loads(body), era
         except ValueError as error:
-            raise PlatformError(f"The store's answer cannot be read: {error}.") from error
+            raise PlatformError(f"The store's response is not valid JSON: {error}.") from error
 
     def _read_era(self, header: str | None) -> int:
-        """Return the era of an answer; one without the header is of the latest that was seen.
+        """Return the era of a response; without the header it is the latest era seen.
 
         Raises:
-            PlatformError: It is no number, or of an era that is over.
+            PlatformError: The header is not a number, or the era is older than the latest.
         """
         if header is None:
             return self._era
         try:
             era = int(header)
         except ValueError as error:
-            raise PlatformError(f"The store's era is no number: {header:.40}.") from error
+            raise PlatformError(f"The store's era is not a number: {header:.40}.") from error
         if era < self._era:
-            raise PlatformError(f"The store answered from era {era}, after era {self._era}.")
+            raise PlatformError(f"The store answered from old era {era}, after era {self._era}.")
         if era > self._era:
             decided("reader", "store-era", era=era, era_before=self._era)
             self._era = era
@@ -129,17 +129,17 @@
 
 
 def _body(response: urllib3.BaseHTTPResponse, deadline: float) -> bytes:
-    """Read a body until a moment: the library's limit is one for each piece of it.
+    """Read a body with a deadline for the whole of it; urllib3's timeout is for each read.
 
     Raises:
-        urllib3.exceptions.HTTPError: It is not whole by then, or the connection is lost.
+        urllib3.exceptions.HTTPError: It is incomplete at the deadline, or the connection is lost.
     """
     chunks = []
     while chunk := response.read1(CHUNK_BYTES):
         chunks.append(chunk)
         if clock.now() > deadline:
             response.close()
-            raise urllib3.exceptions.ProtocolError("The answer was not whole in time.")
+            raise urllib3.exceptions.ProtocolError("response body incomplete at the deadline")
     response.release_conn()
     return b"".join(chunks)
 
