--- a/roadpass/configuration.py
+++ b/roadpass/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration actor: takes over newer revisions and puts them in force on this node."""
+"""The configuration actor: accepts newer revisions and puts them in force on this node."""
 
 import logging
 from collections.abc import Callable
@@ -16,7 +16,7 @@
 
 
 class RevisionOffer(NamedTuple):
-    """A revision that a source has; documents are those that were missing here."""
+    """A revision from the platform or a peer, with the documents that this node lacks."""
 
     manifest: Manifest
     documents: tuple[bytes, ...]
@@ -24,22 +24,22 @@
 
 
 class Store:
-    """What this node holds of the configuration; written by the actor, read by any thread."""
+    """The node's configuration revision; written by the actor, read by any thread."""
 
     def __init__(self) -> None:
         self.held = HeldRevision.empty()
         self.refused: dict[Version, str] = {}
 
     def is_refused(self, version: Version) -> bool:
-        """Tell whether a version was found to be bad before."""
+        """Return whether a version was refused before."""
         return version in self.refused
 
 
 class Configuration(Actor):
-    """Owns what is held of the configuration.
+    """Decides about offered revisions and owns the node's configuration.
 
     Args:
-        store: What is held.
+        store: The node's revision.
         audit: The audit trail.
         on_fleet: Puts a new fleet in force; called in order of revisions.
     """
@@ -71,7 +71,7 @@
                 self._reject_conflict(version)
                 return
             case Order.CONFLICT_WINS:
-                self._report_conflict(version, "the other content goes into force")
+                self._report_conflict(version, "the offered content takes effect")
             case Order.NEWER:
                 pass
         if version in self._store.refused:
@@ -97,14 +97,14 @@
             self._audit.record(Kind.REVISION_REFUSED, _name(version), f"from {source}: {why}")
 
     def _reject_conflict(self, version: Version) -> None:
-        if self._mark_refused(version, "lost against another content of the same number"):
-            self._report_conflict(version, "kept the one in force")
+        if self._mark_refused(version, "lost against another content with the same number"):
+            self._report_conflict(version, "the one in force is kept")
 
     def _mark_refused(self, version: Version, why: str) -> bool:
-        """Note that a version is never to be taken.
+        """Refuse a version from now on.
 
         Returns:
-            Whether that is news.
+            Whether it was not refused before.
         """
         refused = self._store.refused
         if version in refused:
@@ -121,7 +121,7 @@
 
     def _report_conflict(self, version: Version, what: str) -> None:
         evidence = (
-            f"two contents under one number: {self._store.held.version.digest[:12]} in force, "
+            f"two contents with one number: {self._store.held.version.digest[:12]} in force, "
             f"{version.digest[:12]} offered; {what}"
         )
         self._audit.record(Kind.REVISION_CONFLICT, _name(version), evidence)
--- a/roadpass/fleet.py
+++ b/roadpass/fleet.py
@@ -20,29 +20,30 @@
 
 DEFAULT_CLASS = "default"
 _NAMED_SECTIONS = ("services", "targets", "routes", "customers")
-"""Parts of a document that are merged by name."""
+"""Sections of a document whose entries are merged by name."""
 SECONDS_PER_MINUTE = 60
 
 
 class TrafficClass(NamedTuple):
-    """A class of traffic; `reserved` is its share of each target's slots."""
+    """A traffic class; `reserved` is its share of each target's slots, from 0 to 1."""
 
     name: str
     reserved: float
 
 
 def joined_class(customer: str, route: str) -> str:
-    """Return the class of both: sorted by name, customers' classes come first, then routes'."""
+    """Return the name of a combined class; names sort by customer class, then by route class."""
     return f"{customer}.{route}"
 
 
 class Judgement(NamedTuple):
-    """How strictly a service's targets are judged.
+    """Thresholds for the health of a service's targets.
 
     Args:
-        slow_margin: A request is slow that took so many times the others' 95th percentile.
-        trial_weight: Share of traffic of a target on trial.
-        trial_successes: Good answers in a row that end a trial.
+        slow_margin: A request counts as slow if its latency exceeds this multiple of the other
+            targets' 95th percentile.
+        trial_weight: Share of traffic that a target on trial receives.
+        trial_successes: Consecutive successful responses that end a trial.
     """
 
     slow_margin: float = 1.5
@@ -51,12 +52,12 @@
 
 
 class Service(NamedTuple):
-    """What the operators set for a service.
+    """Operator settings of a service.
 
     Args:
-        far_loss_per_kb: What a kilobyte to another data hall costs, as a share of a lost request.
-        target_repeats: Repeats that one of its targets is given in a window, beyond `retry_ratio`.
-        retry_window_s: Seconds of such a window.
+        far_loss_per_kb: Cost of a kilobyte sent to another data hall, as a share of a lost request.
+        target_repeats: Retries that one of its targets receives per window, beyond `retry_ratio`.
+        retry_window_s: Length of the window in seconds.
     """
 
     name: str
@@ -78,7 +79,7 @@
 
     @classmethod
     def from_config(cls, name: str, value: Any) -> "Service":
-        """Build a service from its checked written form."""
+        """Build a service from its validated JSON value."""
         classes = value.get("classes", [{"name": DEFAULT_CLASS}])
         return cls(
             name=name,
@@ -97,10 +98,10 @@
         )
 
     def class_of(self, route: Route, customer: Customer | None = None) -> str:
-        """Return the class of a request: its customer's goes before its route's.
+        """Return the traffic class of a request; the customer's takes precedence over the route's.
 
-        Where a service has classes of both, the route's decides among customers of one class.
-        Without a class that the service knows, it is the least important.
+        If the service has combined classes, the route's class orders requests within a customer
+        class. A request without any class of the service is in its least important one.
         """
         own = route.traffic_class or self.classes[-1].name
         named = (customer.traffic_class if customer is not None else None) or own
@@ -115,7 +116,7 @@
     """One target; `address` is `ip:port`.
 
     Args:
-        instance: Names its incarnation, empty if targets have none.
+        instance: Id by which requests name it, empty if the fleet has no such ids.
     """
 
     name: str
@@ -131,7 +132,7 @@
 
     @classmethod
     def from_config(cls, name: str, value: Any) -> "Target":
-        """Build a target from its checked written form."""
+        """Build a target from its validated JSON value."""
         return cls(
             name=name,
             service=value["service"],
@@ -151,10 +152,10 @@
     Args:
         revision: Number of the revision, 0 for none.
         digest: Hash of the revision's manifest.
-        customers: Whose keys callers show; without any, nobody needs one.
+        customers: Customers whose API keys callers present; if empty, no key is needed.
 
     Attributes:
-        size: VMs that targets are on.
+        size: Number of VMs that run targets.
     """
 
     def __init__(
@@ -185,7 +186,7 @@
 
     @classmethod
     def empty(cls) -> "Fleet":
-        """Return the fleet of a node that knows no revision yet."""
+        """Return the fleet of a node that has no revision yet."""
         return cls({}, {}, {}, ())
 
     @classmethod
@@ -231,24 +232,24 @@
         )
 
     def find_route(self, host: str, path: str, method: str) -> Route | None:
-        """Return the route of a request, or `None`."""
+        """Return the route that matches a request, or `None`."""
         return self._table.find(host, path, method)
 
     def targets_of(self, service: str) -> Sequence[Target]:
-        """Return the targets of a service."""
+        """Return the targets of a service, empty if it is unknown."""
         return self._by_service.get(service, ())
 
     def targets_on(self, vm: str) -> list[Target]:
-        """Return the targets that live on a VM."""
+        """Return the targets that run on a VM."""
         return [target for target in self.targets.values() if target.vm == vm]
 
     def groups(self, route: Route, now: float, service: str = "") -> tuple[tuple[str, ...], ...]:
-        """Return the groups of targets that may serve a route at a time.
+        """Return the targets that may serve a route at a time, as groups in order of preference.
 
         Args:
             route: The route.
-            service: Which of the route's services is meant, empty for its only or first one.
-            now: Seconds since the epoch; the result holds for the whole minute.
+            service: One of the route's services, empty for its only or first one.
+            now: Seconds since the epoch; the result is valid for that whole minute.
         """
         minute = int(now // SECONDS_PER_MINUTE)
         name = service or route.service
@@ -264,7 +265,7 @@
         return groups
 
     def may_serve(self, route_name: str, target_name: str, now: float) -> bool:
-        """Tell whether a target may serve a route at a time."""
+        """Return whether a target may serve a route at a time in seconds since the epoch."""
         route = self.routes.get(route_name)
         if route is None:
             return False
--- a/roadpass/patch.py
+++ b/roadpass/patch.py
@@ -1,4 +1,4 @@
-"""Documents between peers: as a patch against one the peer holds, or whole."""
+"""Transfer of documents between peers, in full or as a patch against one that the peer holds."""
 
 import hashlib
 
@@ -13,7 +13,7 @@
 
 
 def make_patch(base: bytes, content: bytes) -> bytes:
-    """Compress content with the base as dictionary: what did not change costs next to nothing."""
+    """Compress content with the base as dictionary, so that unchanged parts take few bytes."""
     dictionary = zstandard.ZstdCompressionDict(base, dict_type=zstandard.DICT_TYPE_RAWCONTENT)
     parameters = zstandard.ZstdCompressionParameters.from_level(
         3, source_size=len(content), dict_size=len(base), window_log=21
@@ -23,7 +23,7 @@
 
 
 def apply_patch(base: bytes, patch: bytes) -> bytes:
-    """Undo `make_patch`.
+    """Return the content from which `make_patch` made a patch against the base.
 
     Raises:
         DocumentError: The patch does not fit the base.
@@ -33,11 +33,11 @@
 
 
 def build_revision_reply(held: HeldRevision, have: dict[str, str]) -> Message:
-    """Build the answer to a peer's pull.
+    """Build the reply to a peer's pull request.
 
     Args:
-        held: What this node holds.
-        have: Document name to hash at the peer.
+        held: This node's revision; without one, the reply has an empty manifest.
+        have: The hashes of the peer's documents by name.
     """
     manifest = held.manifest
     if manifest is None:
@@ -50,15 +50,16 @@
 
 
 def read_revision_reply(held: HeldRevision, message: Message) -> tuple[Manifest, list[bytes]]:
-    """Unpack a peer's answer.
+    """Unpack a peer's reply to a pull request.
 
     Raises:
-        DocumentError: It is not usable; a patch that fails asks for the whole document.
+        DocumentError: The reply is not usable. If a patch failed, the caller should request the
+            full documents.
     """
     try:
         manifest = Manifest.from_value(message["manifest"])
     except (KeyError, TypeError) as error:
-        raise DocumentError("manifest", ["the peer holds none"]) from error
+        raise DocumentError("manifest", ["the peer has none"]) from error
     return manifest, [_content(held, entry) for entry in message["documents"]]
 
 
@@ -92,7 +93,7 @@
     try:
         size = zstandard.frame_content_size(data)
         if not 0 <= size <= MAX_DOCUMENT_BYTES:
-            raise DocumentError("document", [f"says it has {size} bytes"])
+            raise DocumentError("document", [f"has an invalid decompressed size: {size} bytes"])
         return decompressor.decompress(data, max_output_size=MAX_DOCUMENT_BYTES)
     except zstandard.ZstdError as error:
         raise DocumentError("document", [f"cannot be decompressed: {error}"]) from error
--- a/roadpass/peer.py
+++ b/roadpass/peer.py
@@ -1,4 +1,4 @@
-"""Pools of streams to other nodes."""
+"""Connection pool for streams to other nodes."""
 
 import threading
 from collections.abc import Sequence
@@ -12,18 +12,19 @@
 Address: TypeAlias = tuple[str, int]
 
 IDLE_LIMIT_S = 8.0
-"""Shorter than a node waits for the next frame, so that this side closes first. Each idle stream
-holds a thread of the peer; a new one costs three ways there and back, milliseconds in a region."""
+"""Shorter than the time that a node waits for the next frame, so that the client closes first. Each
+idle stream occupies a thread of the peer; a new one costs three round trips, which are milliseconds
+within a region."""
 MAX_IDLE = 16
 
 
 class PeerPool:
-    """Idle streams by address; a stream is lent to one exchange at a time.
+    """Idle streams by address; each stream serves one exchange at a time. Thread-safe.
 
     Args:
         hello: This node's hello message.
         keys: Keys for the MAC of frames.
-        source: IP number to connect from, empty for any.
+        source: IP address to connect from, empty for any.
     """
 
     def __init__(self, hello: Message, keys: Sequence[bytes], *, source: str = "") -> None:
@@ -34,7 +35,7 @@
         self._lock = threading.Lock()
 
     def acquire(self, address: Address, *, timeout_s: float) -> Stream:
-        """Lend an idle stream or open a new one.
+        """Take an idle stream from the pool or open a new one.
 
         Raises:
             ConnectError: The peer could not be reached.
@@ -56,14 +57,14 @@
             stream.close()
 
     def drop(self, address: Address) -> None:
-        """Close the idle streams to a node: one of them fell silent, and so may the others."""
+        """Close the idle streams to a node: one became unresponsive, and the others may be too."""
         with self._lock:
             streams = self._idle.pop(address, [])
         for stream in streams:
             stream.close()
 
     def release(self, address: Address, stream: Stream) -> None:
-        """Take a stream back after a whole exchange."""
+        """Return a stream to the pool after a complete exchange."""
         stream.idle_since = clock.now()
         with self._lock:
             idle = self._idle.setdefault(address, [])
@@ -79,12 +80,12 @@
 
         Args:
             address: Of the peer.
-            message: What to send.
-            timeout_s: Time for all of it, the connection included.
-            rest_s: Time from the reply's first byte to its last, where that is longer.
+            message: The message to send.
+            timeout_s: Timeout of the whole exchange, including the connection.
+            rest_s: Timeout from the reply's first byte to its last, if that is longer.
 
         Raises:
-            StreamError: No whole reply came in time.
+            StreamError: No complete reply came in time.
         """
         deadline = clock.now() + timeout_s
         stream = self.acquire(address, timeout_s=timeout_s)
@@ -99,7 +100,7 @@
         return reply
 
     def expire(self) -> None:
-        """Close streams that have been idle for too long."""
+        """Close streams that have been idle for longer than the limit; call it regularly."""
         limit = clock.now() - IDLE_LIMIT_S
         stale: list[Stream] = []
         with self._lock:
--- a/roadpass/reader.py
+++ b/roadpass/reader.py
@@ -1,4 +1,4 @@
-"""Reading the configuration: from the platform by a few readers, from peers by all others."""
+"""Reads the configuration: a few readers poll the platform, all other nodes pull from peers."""
 
 import hashlib
 import logging
@@ -26,9 +26,9 @@
 VM_LIST_INTERVAL_S = 10.0
 RETRY_S = 2.0
 STALE_S = 30.0
-"""News of the platform older than this makes a node try for itself."""
+"""Age of the last known response of the platform after which a node polls it itself."""
 SELF_POLL_INTERVAL_PER_NODE_S = 1.0
-"""The mean time between own tries grows with the fleet: about one a second in all."""
+"""The mean interval of these polls grows with the fleet, to about one poll a second in total."""
 PULL_TIMEOUT_S = 2.0
 VERDICT_TIMEOUT_S = 1.0
 PULLS_BYTES = "pull_bytes"
@@ -37,21 +37,21 @@
 
 
 def choose_readers(vms: Iterable[str], count: int) -> list[str]:
-    """Choose the readers of a data hall by highest hash, the same on every node with one view."""
+    """Choose the readers of a data hall by lowest hash; nodes with the same view agree on them."""
     return sorted(vms, key=lambda vm: hashlib.sha256(vm.encode()).digest())[:count]
 
 
 class Poll(NamedTuple):
-    """Look at the platform if it is this node's turn."""
+    """Starts one round: the platform is polled if that is due."""
 
 
 class Status(NamedTuple):
-    """What the reader needs to know of its node.
+    """What the reader needs to know about its node.
 
     Args:
         is_reader: Whether this node reads for its data hall; a leaving one does not.
-        platform_age_s: Seconds since the platform is known to have answered anybody.
-        fleet_size: Nodes known.
+        platform_age_s: Seconds since the platform last answered any node, as far as known.
+        fleet_size: Number of known nodes.
     """
 
     is_reader: bool
@@ -60,7 +60,13 @@
 
 
 class ReaderEvents(NamedTuple):
-    """What the reader calls; none of them may block."""
+    """Callbacks of the reader; none of them may block.
+
+    Args:
+        offer: Called with each revision that was read.
+        on_platform: Called whenever the platform has answered.
+        on_vms: Called with the VM list whenever it was read.
+    """
 
     offer: Callable[[RevisionOffer], None]
     on_platform: Callable[[], None]
@@ -68,17 +74,19 @@
 
 
 class Reader(Actor):
-    """Watches the platform while this node is a reader, and tries it rarely while news is old.
+    """Watches the platform while this node is a reader.
+
+    Other nodes poll it too, but rarely, while the platform is not known to have answered recently.
 
     Args:
         settings: Of this node.
-        platform: To read from.
-        store: What is held.
+        platform: The platform's configuration service.
+        store: The node's configuration revision.
         status: Returns the node's status.
-        events: What to call.
+        events: Callbacks.
         audit: The audit trail.
         rng: Source of randomness.
-        polled: Set once the platform has been asked, whether it answered or not.
+        polled: Set after the first poll of the platform, whether it succeeded or not.
     """
 
     def __init__(
@@ -109,11 +117,11 @@
         self._polled = polled
 
     def on_start(self) -> None:
-        """Ask the platform once, reader or not: a new node takes the newest there is."""
+        """Poll the platform once, reader or not, so that a new node starts with the newest."""
         self.actor_ref.tell(Poll())
 
     def handle(self, message: Any) -> None:
-        """Handle one message; each poll asks for the next."""
+        """Handle one message; each poll schedules the next."""
         match message:
             case Poll():
                 pause = RETRY_S
@@ -126,10 +134,10 @@
                 _log.error("unknown message %r", message)
 
     def _poll(self) -> float:
-        """Do one round.
+        """Run one round.
 
         Returns:
-            Seconds until the next.
+            Seconds until the next round.
         """
         status = self._status()
         first = not self._polled.is_set()
@@ -140,10 +148,10 @@
             self._read(watch=status.is_reader and self._was_reader and not first)
             self._was_reader = status.is_reader
         except PlatformError as error:
-            self._note_reachable(False, str(error))
+            self._record_reachable(False, str(error))
             return RETRY_S * self._rng.uniform(0.5, 1.5)
         except DocumentError as error:
-            self._note_refused_manifest(str(error))
+            self._record_refused_manifest(str(error))
             return RETRY_S * self._rng.uniform(0.5, 1.5)
         finally:
             self._polled.set()
@@ -155,7 +163,7 @@
             manifest = self._platform.watch(after, self._settings.watch_s)
         else:
             manifest = self._platform.manifest()
-        self._note_reachable(True, "answers again")
+        self._record_reachable(True, "answers again")
         self._events.on_platform()
         if manifest is not None:
             self._fetch(manifest)
@@ -175,7 +183,7 @@
         self._await_verdict(manifest.version)
 
     def _await_verdict(self, version: Version) -> None:
-        """Wait shortly for the verdict, so that a bad revision is not watched over and over."""
+        """Wait briefly for a revision to be accepted or refused, so that a bad one is read once."""
         deadline = clock.now() + VERDICT_TIMEOUT_S
         while clock.now() < deadline:
             if self._store.held.version >= version:
@@ -199,35 +207,35 @@
         self._next_self_poll = now + mean * self._rng.uniform(0.5, 1.5)
         return True
 
-    def _note_refused_manifest(self, why: str) -> None:
+    def _record_refused_manifest(self, why: str) -> None:
         if why != self._refused_manifest:
             self._refused_manifest = why
             self._audit.record(Kind.REVISION_REFUSED, "manifest", why)
 
-    def _note_reachable(self, reachable: bool, why: str) -> None:
+    def _record_reachable(self, reachable: bool, why: str) -> None:
         if reachable is not self._reachable:
             self._reachable = reachable
             self._audit.record(Kind.PLATFORM, self._settings.platform_url, why)
 
 
 class VersionAnnounced(NamedTuple):
-    """A peer holds a newer version."""
+    """A peer has announced a version, which may be newer than this node's."""
 
     version: Version
     address: Address
 
 
 class Puller(Actor):
-    """Fetches newer revisions from peers, as patches where it can.
+    """Pulls newer revisions from peers, as patches where possible.
 
-    Each peer that holds one says so again and again; one that did not answer is left alone for a
-    while, so that the others' turn comes.
+    Each peer announces its version repeatedly. A peer that did not answer is skipped for a while,
+    so that others are asked instead.
 
     Args:
-        peers: Streams to them.
-        store: What is held.
-        offer: Hands a revision to the configuration.
-        metrics: Counts bytes.
+        peers: Streams to the peers.
+        store: The node's configuration revision.
+        offer: Passes a revision to the configuration actor.
+        metrics: Counts the bytes received.
     """
 
     def __init__(
@@ -288,9 +296,9 @@
             try:
                 return self._pull(held, address, patches=patches)
             except DocumentError as error:
-                _log.info("the documents of %s are not usable: %s", address, error)
+                _log.info("documents pulled from %s are not usable: %s", address, error)
             except StreamError as error:
-                _log.info("no configuration from %s: %s", address, error)
+                _log.info("configuration could not be pulled from %s: %s", address, error)
                 return None
         return None
 
--- a/roadpass/revision.py
+++ b/roadpass/revision.py
@@ -1,4 +1,4 @@
-"""Revisions of the configuration: which is newer, and what a node holds."""
+"""Configuration revisions: their order, and the revision that a node holds."""
 
 import hashlib
 from collections.abc import Iterable, Mapping
@@ -14,7 +14,7 @@
 
 MAX_DOCUMENT_BYTES = 1024 * 1024
 KEPT_DOCUMENTS_BYTES = 4 * 1024 * 1024
-"""Older documents are kept up to this size, as the base of patches for peers."""
+"""Limit on the total size of older documents, which are kept as the base of patches for peers."""
 
 
 class Version(NamedTuple):
@@ -36,7 +36,7 @@
 
 
 class Manifest(NamedTuple):
-    """The content of a revision by hashes."""
+    """The documents of a revision, identified by their hashes."""
 
     revision: int
     documents: tuple[DocumentEntry, ...]
@@ -57,19 +57,19 @@
 
     @classmethod
     def from_value(cls, value: Any) -> "Manifest":
-        """Build a manifest from its checked written form."""
+        """Build a manifest from its validated JSON value."""
         entries = (DocumentEntry(d["name"], d["hash"], d["size"]) for d in value["documents"])
         return cls(value["revision"], tuple(sorted(entries)))
 
     @property
     def version(self) -> Version:
-        """The version, the same on every node for the same content."""
+        """The version, which is the same on every node for the same content."""
         content = "\n".join(f"{d.name} {d.hash}" for d in self.documents)
         digest = hashlib.sha256(f"{self.revision}\n{content}".encode()).hexdigest()
         return Version(self.revision, digest)
 
     def to_value(self) -> dict[str, Any]:
-        """Return the written form."""
+        """Return the JSON value that `from_value` reads."""
         return {
             "revision": self.revision,
             "documents": [entry._asdict() for entry in self.documents],
@@ -77,7 +77,7 @@
 
 
 class Order(Enum):
-    """How an offered version stands to the one in force."""
+    """How an offered version compares to the one in force."""
 
     NEWER = auto()
     SAME = auto()
@@ -87,7 +87,7 @@
 
 
 def compare(current: Version, offered: Version) -> Order:
-    """Compare versions; of two contents under one number the larger digest wins everywhere."""
+    """Compare versions; of two contents with one number, the larger digest wins on every node."""
     if offered.revision > current.revision:
         return Order.NEWER
     if offered.revision < current.revision:
@@ -98,7 +98,7 @@
 
 
 class HeldRevision(NamedTuple):
-    """What a node holds of the revision in force; immutable, so any thread may read it."""
+    """The revision in force on a node, with its documents; immutable, so any thread may read it."""
 
     version: Version
     manifest: Manifest | None
@@ -107,23 +107,23 @@
 
     @classmethod
     def empty(cls) -> "HeldRevision":
-        """Return what a new node holds."""
+        """Return the value of a new node, which has no revision."""
         return cls(NO_VERSION, None, {}, {})
 
     def missing(self, manifest: Manifest) -> list[DocumentEntry]:
-        """Return the documents of a manifest that are not held."""
+        """Return the documents of a manifest that this node lacks."""
         return [entry for entry in manifest.documents if self.find(entry.hash) is None]
 
     def find(self, digest: str) -> bytes | None:
-        """Return a held document by its hash."""
+        """Return a document by its hash, `None` if this node lacks it."""
         return self.documents.get(digest) or self.older.get(digest)
 
     def advance(self, manifest: Manifest, fetched: Iterable[bytes]) -> tuple["HeldRevision", Fleet]:
-        """Take over a revision, whole and valid, or raise.
+        """Return the state after accepting a complete and valid revision, and its fleet.
 
         Args:
             manifest: Of the revision.
-            fetched: Documents that were missing, in any order.
+            fetched: The documents that this node lacked, in any order.
 
         Raises:
             IncompleteError: A document is missing or does not match its hash.
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""Fleet documents and settings: valid ones work, others give clear errors."""
+"""Fleet documents and settings: valid ones are accepted, others give clear errors."""
 
 import contextlib
 import json
@@ -26,7 +26,7 @@
 
 @pytest.mark.parametrize("name", ["granthsetu", "lisbon"])
 def test_examples_are_valid(name: str) -> None:
-    """Both sample fleets, with every route having capacity at any hour."""
+    """In both sample fleets every route has targets at any hour of the week."""
     files = sorted((EXAMPLES / name).glob("*.jsonc"))
     fleet = Fleet.from_documents([(path.stem, path.read_text()) for path in files])
     for hour in range(0, 24 * 7, 5):
@@ -35,7 +35,7 @@
 
 
 def test_errors_name_line_path_and_hint() -> None:
-    """Syntax, schema, cross references, all at once."""
+    """Syntax errors have a line, schema errors a hint, and all broken references are reported."""
     assert "line 2" in problems('{\n  "services": }')
     assert "did you mean 'floor_slots' for 'floor_slot'" in problems(
         {"services": {"s": {"floor_slot": 1}}}
@@ -63,7 +63,7 @@
 
 
 def test_duplicate_keys_and_names_are_errors() -> None:
-    """In one document and across documents."""
+    """Duplicates are rejected within one document and across documents."""
     assert "line 1" in problems('{"services": {}, "services": {}}')
     one = ("one", '{"services": {"s": {"floor_slots": 0}}}')
     with pytest.raises(DocumentError, match="another document"):
@@ -86,20 +86,20 @@
 
 @given(JSON)
 def test_any_json_is_valid_or_a_document_error(value: Any) -> None:
-    """Nothing else is ever raised."""
+    """No JSON raises any other error."""
     with contextlib.suppress(DocumentError):
         Fleet.from_documents([("doc", json.dumps(value))])
 
 
 @given(st.text(max_size=60))
 def test_any_text_is_valid_or_a_document_error(text: str) -> None:
-    """Not even JSON."""
+    """Text that is not JSON raises no other error either."""
     with contextlib.suppress(DocumentError):
         Fleet.from_documents([("doc", text)])
 
 
 def test_settings(tmp_path: Path) -> None:
-    """The sample is valid; an unknown key is an error with a hint."""
+    """The sample is valid; an unknown key and a missing file are errors."""
     settings = Settings.from_config(EXAMPLES / "settings.jsonc")
     assert (settings.vm, settings.ports.stream) == ("vm-1", 8081)
     bad = tmp_path / "bad.jsonc"
--- a/tests/test_reader.py
+++ b/tests/test_reader.py
@@ -1,4 +1,4 @@
-"""The reader against a fake platform: rounds go on whatever one of them meets."""
+"""The configuration reader against a fake platform, and the puller against fake peers."""
 
 import random
 import threading
@@ -24,11 +24,11 @@
 EXAMPLE = Path(__file__).parent.parent / "examples" / "settings.jsonc"
 LIMIT_S = 10.0
 CUT_S = 0.1
-"""How long a peer that is cut off is waited for here."""
+"""Seconds that an exchange with a cut-off peer takes in these tests."""
 
 
 class FakePlatform(Platform):
-    """Raises each error of a list in turn, then shows nothing."""
+    """Raises each error of a list in turn and then fails with a `PlatformError`."""
 
     def __init__(self, errors: list[Exception]) -> None:
         super().__init__("http://127.0.0.1:1", Metrics())
@@ -39,11 +39,11 @@
         self.rounds += 1
         if self.errors:
             raise self.errors.pop(0)
-        raise PlatformError("Nothing there.")
+        raise PlatformError("The platform has no manifest.")
 
 
 def run(platform: FakePlatform, audit: AuditTrail, until: Callable[[], bool]) -> bool:
-    """Run a reader until a condition holds; returns whether it did in time."""
+    """Run a reader until a condition holds; return whether it held in time."""
     events = ReaderEvents(lambda offer: None, lambda: None, lambda vms: None)
     ref = Reader.start(
         Settings.from_config(EXAMPLE),
@@ -63,14 +63,14 @@
 
 
 def test_rounds_go_on_after_any_error(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Also after one that nobody foresaw."""
+    """Even an unexpected error does not end the polling."""
     monkeypatch.setattr(reader, "RETRY_S", 0.01)
-    platform = FakePlatform([RuntimeError("unforeseen"), PlatformError("down")])
+    platform = FakePlatform([RuntimeError("unexpected"), PlatformError("down")])
     assert run(platform, AuditTrail(), lambda: platform.rounds >= 4)
 
 
-def test_a_manifest_that_stays_bad_is_said_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The trail is not filled by a mistake that lasts."""
+def test_a_manifest_that_stays_invalid_is_audited_once(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A lasting mistake does not fill the audit trail."""
     monkeypatch.setattr(reader, "RETRY_S", 0.01)
     audit = AuditTrail()
     platform = FakePlatform([DocumentError("manifest", ["bad"]) for _ in range(5)])
@@ -80,7 +80,7 @@
 
 
 def test_readers_are_the_same_on_every_node_and_change_little() -> None:
-    """The order in which a view is held does not matter; one lost node moves one reader."""
+    """The order of the view does not matter; the loss of one node replaces at most one reader."""
     vms = [f"vm-{n}" for n in range(20)]
     chosen = choose_readers(vms, 2)
     assert choose_readers(list(reversed(vms)), 2) == chosen
@@ -89,7 +89,7 @@
 
 
 class CutOffPeers(PeerPool):
-    """Peers of which all but one cannot be reached."""
+    """Peers of which only one can be reached."""
 
     def __init__(self, reachable: Address) -> None:
         super().__init__({}, ())
@@ -107,8 +107,8 @@
         return {"t": "revision", "manifest": manifest, "documents": []}
 
 
-def test_a_peer_that_can_be_reached_is_pulled_from_behind_words_of_others() -> None:
-    """Many words of peers that are cut off cost one try each, not one a word."""
+def test_a_reachable_peer_is_pulled_from_despite_announcements_of_unreachable_ones() -> None:
+    """Many announcements of a cut-off peer cost one attempt in total, not one each."""
     cut = [("127.0.0.1", port) for port in (1, 2)]
     peers = CutOffPeers(("127.0.0.1", 3))
     offered: list[RevisionOffer] = []
--- a/tests/test_revision.py
+++ b/tests/test_revision.py
@@ -1,4 +1,4 @@
-"""Revisions: whole, valid, newer only; patches between peers."""
+"""Revisions: only complete, valid and newer ones are accepted. Patches between peers."""
 
 import hashlib
 import json
@@ -23,7 +23,7 @@
 
 
 def manifest(revision: int, *contents: bytes) -> Manifest:
-    """Return the manifest of some contents."""
+    """Return a manifest of the given contents."""
     entries = (
         DocumentEntry(f"d{n}", hashlib.sha256(c).hexdigest(), len(c))
         for n, c in enumerate(contents)
@@ -41,7 +41,7 @@
     )
 )
 def test_revision_in_force_never_goes_down(offers: list[tuple[int, str, bool]]) -> None:
-    """Whatever is offered, in any order, with documents missing or invalid."""
+    """Revisions are offered in any order, some with missing or invalid documents."""
     offers = [*offers, (7, "x", True)]
     store, trail, seen = Store(), AuditTrail(), []
     actor = Configuration(store, trail, lambda fleet: seen.append(fleet))
@@ -55,8 +55,8 @@
     assert seen[-1].revision == 7
 
 
-def test_a_revision_that_came_in_part_is_taken_once_it_is_whole() -> None:
-    """A document that could not be read the first time does not spoil its revision."""
+def test_an_incomplete_revision_is_accepted_once_it_is_complete() -> None:
+    """A document that was missing or damaged at first does not cause a lasting refusal."""
     store, trail = Store(), AuditTrail()
     actor = Configuration(store, trail, lambda fleet: None)
     content = document()
@@ -68,8 +68,8 @@
 
 
 @given(st.permutations(["x", "y", "z"]))
-def test_racing_contents_settle_on_one_whatever_the_order(order: list[str]) -> None:
-    """Two contents under one number: hash order decides, and the trail says so."""
+def test_conflicting_contents_converge_in_any_order(order: list[str]) -> None:
+    """Of several contents with one number the hash decides, and the conflict is audited."""
     store, trail = Store(), AuditTrail()
     actor = Configuration(store, trail, lambda fleet: None)
     contents = {mark: document(mark=mark) for mark in order}
@@ -81,7 +81,7 @@
 
 
 def test_wrong_hash_and_wrong_size_are_refused() -> None:
-    """A document that is not what the manifest says."""
+    """Documents must match the hash and the size in the manifest."""
     content = document()
     with pytest.raises(DocumentError, match="does not match its hash"):
         HeldRevision.empty().advance(manifest(1, content), [content + b" "])
@@ -91,7 +91,7 @@
 
 
 def test_peer_gets_a_patch_and_ends_with_the_same_content() -> None:
-    """A small change of a large document travels in few bytes."""
+    """A small change of a large document is sent in few bytes."""
     old, new = document(3000, "old"), document(3000, "new")
     peer, _ = HeldRevision.empty().advance(manifest(1, old), [old])
     server, _ = peer.advance(manifest(2, new), [new])
