--- a/roadpass/catalogue.py
+++ b/roadpass/catalogue.py
@@ -24,7 +24,7 @@
 )
 
 WITHDRAWN_GRACE_S = 0.7
-"""Seconds for which a withdrawn target still receives requests; it must not after 2 s."""
+"""Seconds for which a withdrawn target still receives requests; it must get none after 2 s."""
 MAX_WITHDRAWN_AGE_S = 1.6
 """Limit in seconds on the same, counted from the last time its entry is known to have existed."""
 REPUBLISH_GRACE_S = 2.5
--- a/roadpass/store_reader.py
+++ b/roadpass/store_reader.py
@@ -71,7 +71,7 @@
 
 
 class StoreEvents(NamedTuple):
-    """Callbacks of the reader; none of them may block.
+    """Callbacks of the reader; none of them may block, except `fetch_update`.
 
     Args:
         on_fleet: Called with each new fleet and the configuration that it was built from.
@@ -79,8 +79,8 @@
         on_confirmed: Called when the source is confirmed to have nothing newer than a position:
             with the position, the time in monotonic seconds, and whether this node read it itself,
             so that its peers need to be notified.
-        fetch_update: Fetches what came after a position from a peer; may raise `StreamError`. It is
-            called by another actor and may block.
+        fetch_update: Fetches what came after a position from a peer; called by a separate actor.
+            May raise `StreamError`.
         reader_rank: Returns this node's place among the readers.
     """
 
