--- a/roadpass/caller_connection.py
+++ b/roadpass/caller_connection.py
@@ -46,7 +46,7 @@
 _log = logging.getLogger("roadpass.ingress")
 
 
-class Desk(NamedTuple):
+class ConnectionContext(NamedTuple):
     """What all connections of an ingress work with.
 
     Args:
@@ -83,7 +83,7 @@
         desk: What to work with.
     """
 
-    def __init__(self, sock: socket.socket, remote: str, desk: Desk) -> None:
+    def __init__(self, sock: socket.socket, remote: str, desk: ConnectionContext) -> None:
         self._sock = sock
         self._remote = remote
         self._desk = desk
--- a/roadpass/dispatch.py
+++ b/roadpass/dispatch.py
@@ -33,7 +33,7 @@
 from roadpass.route import Route
 from roadpass.sidecar import Sidecar
 from roadpass.stop_notices import StopNotices
-from roadpass.transport import CONNECT_S, Transport
+from roadpass.transport import CONNECT_TIMEOUT_S, Transport
 from roadpass.trip import MIN_ATTEMPT_S, Trip
 from roadpass.trip_log import log_attempt, log_end, log_refused
 from roadpass.view import View
@@ -288,7 +288,9 @@
             left = min(trip.deadline, self._view.ending.asks_until) - clock.now()
             if left < MIN_ATTEMPT_S:
                 return Unknown(Reason.KEY_USED)
-            verdict = self._transport.fence_key(vm, trip.key, attempt_id, min(left, CONNECT_S))
+            verdict = self._transport.fence_key(
+                vm, trip.key, attempt_id, min(left, CONNECT_TIMEOUT_S)
+            )
             if verdict is not Verdict.NEVER_STARTS:
                 return Unknown(Reason.KEY_USED)
         return None
--- a/roadpass/gossip.py
+++ b/roadpass/gossip.py
@@ -20,12 +20,12 @@
     Arrival,
     Begin,
     Confirmed,
-    CrashNews,
+    CrashUpdate,
     Events,
     InForce,
     Leave,
     PlatformSeen,
-    Say,
+    PublishHint,
     Seed,
     Tick,
 )
@@ -153,11 +153,11 @@
                 self._members.leave()
                 self._announcements = ANNOUNCE_REPEATS
                 self._announce()
-            case CrashNews():
+            case CrashUpdate():
                 self._tells_of_crashes = True
             case QuotaTalk():
                 self._talk(message)
-            case Say(target=target, scores=scores):
+            case PublishHint(target=target, scores=scores):
                 if self._hints.say(clock.now(), target, scores):
                     self._announce()
             case _:
--- a/roadpass/gossip_messages.py
+++ b/roadpass/gossip_messages.py
@@ -69,11 +69,11 @@
     """This node is leaving."""
 
 
-class CrashNews(NamedTuple):
+class CrashUpdate(NamedTuple):
     """Something new is known of requests under which targets ended; peers are to hear of it."""
 
 
-class Say(NamedTuple):
+class PublishHint(NamedTuple):
     """A sidecar's word on one of its targets."""
 
     target: str
--- a/roadpass/ingress.py
+++ b/roadpass/ingress.py
@@ -9,7 +9,7 @@
 from roadpass._actor import Actor
 from roadpass.access import identify
 from roadpass.active_count import ActiveCount
-from roadpass.caller_connection import CallerConnection, Desk
+from roadpass.caller_connection import CallerConnection, ConnectionContext
 from roadpass.dialect import OWN, Dialect
 from roadpass.metric import Metrics
 from roadpass.request import Request, Served
@@ -67,7 +67,7 @@
         self._open: set[socket.socket] = set()
         self._listener: socket.socket | None = None
         self._thread: threading.Thread | None = None
-        self._desk = Desk(
+        self._desk = ConnectionContext(
             dispatch=dispatcher.dispatch,
             limits=lambda: view.limits,
             leaving=lambda: view.leaving or self._stopped.is_set(),
--- a/roadpass/introduction.py
+++ b/roadpass/introduction.py
@@ -40,7 +40,7 @@
     )
 
 
-def neighbours(settings: Settings, entries: Iterable[TargetEntry]) -> tuple[Member, ...]:
+def members_from_targets(settings: Settings, entries: Iterable[TargetEntry]) -> tuple[Member, ...]:
     """Return the nodes beside the targets that a store names, but the own one.
 
     A target's IP number is its VM's there, and all nodes of the fleet use the same ports.
--- a/roadpass/local.py
+++ b/roadpass/local.py
@@ -14,7 +14,7 @@
 from roadpass.exchange import Exchange
 from roadpass.fence import FenceTable
 from roadpass.fleet import Service, Target
-from roadpass.message import Attempt, LoadReport, Question
+from roadpass.message import AdmissionCheck, Attempt, LoadReport
 from roadpass.outcome import (
     RETRY_SOON_MS,
     SERVER_ERROR,
@@ -163,7 +163,7 @@
             wait_ms=round(wait_ms),
         )
 
-    def refusal(self, question: Question) -> NotRun | None:
+    def refusal(self, question: AdmissionCheck) -> NotRun | None:
         """Return why an attempt would be refused now, `None` if it would be taken."""
         refusal = self._new_work_refusal(question)
         if refusal is not None:
@@ -197,16 +197,16 @@
         with self._lock:
             self._shedding.note(clock.now(), outcome)
 
-    def _new_work_refusal(self, question: Question) -> NotRun | None:
+    def _new_work_refusal(self, question: AdmissionCheck) -> NotRun | None:
         """Return why the target is given no new work now, `None` if it is, whatever its queue."""
         return self._door_refusal(question) or self._guard.away() or self._repeat_refusal(question)
 
-    def _repeat_refusal(self, question: Question) -> NotRun | None:
+    def _repeat_refusal(self, question: AdmissionCheck) -> NotRun | None:
         with self._lock:
             allowed = not question.repeat or self._repeats.has_one(clock.now())
         return None if allowed else NotRun(Reason.REPEATS_SPENT, RETRY_SOON_MS)
 
-    def _door_refusal(self, question: Question) -> NotRun | None:
+    def _door_refusal(self, question: AdmissionCheck) -> NotRun | None:
         if self.leaving:
             return NotRun(Reason.LEAVING, RETRY_SOON_MS)
         now = clock.now()
@@ -230,7 +230,7 @@
             deadline: Clock seconds.
             watch: Tells when the caller has left, where this node is also its ingress.
         """
-        refusal = self._guard.refusal(attempt) or self.refusal(Question.of(attempt))
+        refusal = self._guard.refusal(attempt) or self.refusal(AdmissionCheck.of(attempt))
         if refusal is not None:
             return refusal
         with self._lock:
@@ -293,7 +293,7 @@
             return NotRun(Reason.EXPIRED, RETRY_SOON_MS)
         if now >= self._ending.last_start(attempt.usual_ms):  # a node short of time came here late
             return NotRun(Reason.LEAVING, RETRY_SOON_MS)
-        refusal = self._new_work_refusal(Question.of(attempt)) or self._guard.refusal(attempt)
+        refusal = self._new_work_refusal(AdmissionCheck.of(attempt)) or self._guard.refusal(attempt)
         if refusal is not None:
             return refusal
         reason = self._fences.claim(now, attempt.id, attempt.key, repeat=attempt.repeat)
--- a/roadpass/message.py
+++ b/roadpass/message.py
@@ -140,7 +140,7 @@
         return {"t": "attempt", **self._asdict()}
 
 
-class Question(NamedTuple):
+class AdmissionCheck(NamedTuple):
     """What a sidecar needs to know to tell whether it would take an attempt.
 
     Args:
@@ -166,7 +166,7 @@
     route: str = ""
 
     @classmethod
-    def of(cls, attempt: Attempt) -> "Question":
+    def of(cls, attempt: Attempt) -> "AdmissionCheck":
         """Build the question of an attempt."""
         return cls(
             attempt.target,
@@ -182,7 +182,7 @@
         )
 
     @classmethod
-    def from_message(cls, message: Message) -> "Question":
+    def from_message(cls, message: Message) -> "AdmissionCheck":
         """Build a question from a checked message."""
         return cls(
             message["target"],
--- a/roadpass/peer.py
+++ b/roadpass/peer.py
@@ -73,7 +73,7 @@
         stream.close()
 
     def exchange(
-        self, address: Address, message: Message, *, timeout_s: float, rest_s: float = 0.0
+        self, address: Address, message: Message, *, timeout_s: float, frame_timeout_s: float = 0.0
     ) -> Message:
         """Send one message and return the reply.
 
@@ -81,7 +81,7 @@
             address: Of the peer.
             message: What to send.
             timeout_s: Time for all of it, the connection included.
-            rest_s: Time from the reply's first byte to its last, where that is longer.
+            frame_timeout_s: Time from the reply's first byte to its last, where that is longer.
 
         Raises:
             StreamError: No whole reply came in time.
@@ -91,7 +91,7 @@
         try:
             stream.send(message, timeout_s=deadline - clock.now())
             left_s = max(0.0, deadline - clock.now())
-            reply = stream.receive(left_s, rest_s=rest_s).message
+            reply = stream.receive(left_s, frame_timeout_s=frame_timeout_s).message
         except StreamError:
             stream.close()
             raise
--- a/roadpass/reader.py
+++ b/roadpass/reader.py
@@ -285,7 +285,9 @@
     def _pull(self, held: Held, address: Address, *, patches: bool) -> tuple[Manifest, list[bytes]]:
         entries = held.manifest.documents if held.manifest and patches else ()
         message: Pull = {"t": "pull", "have": {entry.name: entry.hash for entry in entries}}
-        reply = self._peers.exchange(address, message, timeout_s=PULL_S, rest_s=FRAME_LIMIT_S)
+        reply = self._peers.exchange(
+            address, message, timeout_s=PULL_S, frame_timeout_s=FRAME_LIMIT_S
+        )
         if reply["t"] != "revision":
             raise StreamError("The peer did not send a revision.")
         for document in reply["documents"]:
--- a/roadpass/sidecar.py
+++ b/roadpass/sidecar.py
@@ -15,7 +15,7 @@
 from roadpass.fence import FenceTable, Verdict
 from roadpass.fleet import Fleet
 from roadpass.local import LocalTarget
-from roadpass.message import Attempt, LoadReport, Message, Question, Reply
+from roadpass.message import AdmissionCheck, Attempt, LoadReport, Message, Reply
 from roadpass.outcome import RETRY_SOON_MS, NotRun, Outcome, Reason, Unknown
 from roadpass.pause import PauseWatch
 from roadpass.quarantine import Quarantine
@@ -120,7 +120,7 @@
         """Drop old fences."""
         self._fences.expire(clock.now())
 
-    def check(self, question: Question) -> Message:
+    def check(self, question: AdmissionCheck) -> Message:
         """Tell whether an attempt would be taken; nothing runs."""
         local = self._targets.get(question.target)
         if local is None:
@@ -210,7 +210,7 @@
             case "attempt":
                 return self.run(Attempt.from_message(message), age_s).to_message()
             case "check":
-                return self.check(Question.from_message(message))
+                return self.check(AdmissionCheck.from_message(message))
             case "fence":
                 return self._fenced(self.fence(message["id"]))
             case "keep":
--- a/roadpass/stream.py
+++ b/roadpass/stream.py
@@ -173,7 +173,7 @@
             raise StreamError(f"The frame was not written: {error}.") from error
 
     def receive(
-        self, timeout_s: float, *, caller: CallerWatch | None = None, rest_s: float = 0.0
+        self, timeout_s: float, *, caller: CallerWatch | None = None, frame_timeout_s: float = 0.0
     ) -> Received:
         """Wait for one frame.
 
@@ -181,7 +181,7 @@
             timeout_s: Time until all of it is there: an actor that waits for a peer must not stand
                 still because the peer, or the way from it, stalls in the middle of a frame.
             caller: Tells when the caller has left, which ends the wait for the first byte.
-            rest_s: Time from its first byte to its last, where that is longer.
+            frame_timeout_s: Time from its first byte to its last, where that is longer.
 
         Raises:
             ReplyTimeoutError: It was not there in time.
@@ -191,7 +191,7 @@
         deadline = clock.now() + timeout_s
         if not self._buffer:
             self._await_data(timeout_s, caller)
-        deadline = max(deadline, clock.now() + rest_s)
+        deadline = max(deadline, clock.now() + frame_timeout_s)
         try:
             header = self._read(_HEADER.size, deadline)
             (length,) = _HEADER.unpack(header)
--- a/roadpass/stream_server.py
+++ b/roadpass/stream_server.py
@@ -102,7 +102,7 @@
 
     def _answer_all(self, stream: Stream) -> None:
         while True:
-            received = stream.receive(IDLE_LIMIT_S, rest_s=FRAME_LIMIT_S)
+            received = stream.receive(IDLE_LIMIT_S, frame_timeout_s=FRAME_LIMIT_S)
             reply = self._sidecar.answer(received.message, received.age_s)
             with self._sidecar.replies if reply["t"] in OUTCOMES else nullcontext():
                 stream.send(reply)
--- a/roadpass/switchboard.py
+++ b/roadpass/switchboard.py
@@ -12,8 +12,15 @@
 from roadpass.detect import Scores
 from roadpass.errors import StreamError
 from roadpass.fleet import Fleet
-from roadpass.gossip_messages import Confirmed, CrashNews, InForce, PlatformSeen, Say, Seed
-from roadpass.introduction import listed_members, neighbours
+from roadpass.gossip_messages import (
+    Confirmed,
+    CrashUpdate,
+    InForce,
+    PlatformSeen,
+    PublishHint,
+    Seed,
+)
+from roadpass.introduction import listed_members, members_from_targets
 from roadpass.journal import Journal
 from roadpass.manifest import VmEntry
 from roadpass.message import Message
@@ -101,7 +108,7 @@
 
     def on_peers(self, entries: Sequence[TargetEntry]) -> None:
         """Know the nodes beside the targets that a source names."""
-        members = neighbours(self._settings, entries)
+        members = members_from_targets(self._settings, entries)
         self.gossip.tell(Seed(members, frozenset(), spread=False))
 
     def on_confirmed(self, position: Position, at: float, own: bool) -> None:
@@ -148,7 +155,7 @@
     def on_crash_news(self) -> None:
         """Tell others what is new of requests under which targets end."""
         try:
-            self.gossip.tell(CrashNews())
+            self.gossip.tell(CrashUpdate())
         except pykka.ActorDeadError:  # the request's answer is delivered all the same
             _log.debug("nobody is told of a crash any more: the node has stopped")
 
@@ -180,4 +187,4 @@
 
     def tell_scores(self, target: str, scores: Scores) -> None:
         """Tell the others of the evidence against this VM's target."""
-        self.gossip.tell(Say(target, scores))
+        self.gossip.tell(PublishHint(target, scores))
--- a/roadpass/transport.py
+++ b/roadpass/transport.py
@@ -12,7 +12,7 @@
 from roadpass.errors import ConnectError, ReplyTimeoutError, StreamError
 from roadpass.fence import Verdict
 from roadpass.fleet import Target
-from roadpass.message import Attempt, Message, Question, Reply
+from roadpass.message import AdmissionCheck, Attempt, Message, Reply
 from roadpass.metric import Metrics
 from roadpass.outcome import RETRY_SOON_MS, NotRun, Outcome, Reason, Unknown
 from roadpass.peer import Address, PeerPool
@@ -30,7 +30,7 @@
 answer is delivered, and its route's time is passed by less than half a second."""
 RECALL_S = 0.25
 """Seconds to a word on attempts that are asked back: busy nodes take some ten times 3 ms."""
-CONNECT_S = 0.12
+CONNECT_TIMEOUT_S = 0.12
 """Seconds to connect: many times what it takes within a region, and far less than the second that
 a lost first packet costs, in which another target can be asked."""
 CHECK_S = 0.09
@@ -250,7 +250,7 @@
         left_s = min(
             attempt.remaining_ms / 1000.0, self._view.ending.asks_until - clock.now()
         )  # a peer that is silent must not hold the request until this node has ended
-        connect_s = min(PRESSING_S if attempt.pressing else CONNECT_S, left_s)
+        connect_s = min(PRESSING_S if attempt.pressing else CONNECT_TIMEOUT_S, left_s)
         check_s = min(PRESSING_S if attempt.pressing else CHECK_S, left_s)
         try:
             stream = self._peers.acquire(address, timeout_s=connect_s)
@@ -259,7 +259,7 @@
         reused = stream.idle_since > 0.0
         stream.carried = 0
         try:
-            stream.send(Question.of(attempt).to_message(), timeout_s=check_s)
+            stream.send(AdmissionCheck.of(attempt).to_message(), timeout_s=check_s)
             word = stream.receive(check_s).message
             if word["t"] == "accepted":
                 return stream, reused
@@ -280,7 +280,7 @@
         try:
             stream.send(attempt.to_message(), timeout_s=wait_s)
             left_s = max(0.0, until - clock.now())
-            received = stream.receive(left_s, caller=watch, rest_s=REPLY_REST_S)
+            received = stream.receive(left_s, caller=watch, frame_timeout_s=REPLY_REST_S)
             reply = Reply.from_message(received.message)
         except StreamError as error:
             stream.close()
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -207,7 +207,7 @@
         self.sent.append(message["t"])
 
     def receive(
-        self, timeout_s: float, *, caller: CallerWatch | None = None, rest_s: float = 0.0
+        self, timeout_s: float, *, caller: CallerWatch | None = None, frame_timeout_s: float = 0.0
     ) -> Received:
         if self.sent[-1] == "check":
             return Received({"t": "accepted"}, 0.0)
@@ -234,7 +234,7 @@
         self.returned.append(stream)
 
     def exchange(
-        self, address: Address, message: Message, *, timeout_s: float, rest_s: float = 0.0
+        self, address: Address, message: Message, *, timeout_s: float, frame_timeout_s: float = 0.0
     ) -> Message:
         if self.word is None:
             raise ReplyTimeoutError("The peer did not reply in time.")
@@ -301,7 +301,7 @@
     works = False
 
     def receive(
-        self, timeout_s: float, *, caller: CallerWatch | None = None, rest_s: float = 0.0
+        self, timeout_s: float, *, caller: CallerWatch | None = None, frame_timeout_s: float = 0.0
     ) -> Received:
         if not self.works:
             raise ReplyTimeoutError("The peer did not reply in time.")
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -12,7 +12,7 @@
 from roadpass import clock
 from roadpass.audit import AuditTrail
 from roadpass.gossip import Gossip
-from roadpass.gossip_messages import Begin, Confirmed, CrashNews, Events, Seed
+from roadpass.gossip_messages import Begin, Confirmed, CrashUpdate, Events, Seed
 from roadpass.member import Member, MemberState
 from roadpass.message import check_gossip
 from roadpass.metric import Metrics
@@ -102,7 +102,7 @@
     """At once, in every datagram; what is heard is counted with what was seen here."""
     quarantine = Quarantine()
     ref = start(Metrics(), [], quarantine=quarantine, address="127.0.41.3")
-    quarantine.on_news = lambda: ref.tell(CrashNews())
+    quarantine.on_news = lambda: ref.tell(CrashUpdate())
     ref.tell(Begin())
     ref.proxy().agreeing_peers.get()  # answered once the socket is bound and read
     peer = Member("vm-9", 1, MemberState.ALIVE, "127.0.41.9", 8081, 8082, "hall", "region")
--- a/tests/test_introduction.py
+++ b/tests/test_introduction.py
@@ -1,6 +1,6 @@
 """The members that a node names to its gossip unheard."""
 
-from roadpass.introduction import listed_members, neighbours, own_member
+from roadpass.introduction import listed_members, members_from_targets, own_member
 from roadpass.manifest import VmEntry
 from roadpass.member import Member, MemberState
 from roadpass.settings import Ports, Settings
@@ -39,6 +39,6 @@
         entry("t2", "10.0.0.2", "hall-2"),
         entry("t3", "10.0.0.2", "hall-2"),
     ]
-    assert neighbours(SETTINGS, entries) == (
+    assert members_from_targets(SETTINGS, entries) == (
         Member("10.0.0.2", 0, ALIVE, "10.0.0.2", 8081, 8082, "hall-2", "region"),
     )
--- a/tests/test_packing.py
+++ b/tests/test_packing.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from roadpass.errors import FrameError
-from roadpass.message import Attempt, Question
+from roadpass.message import AdmissionCheck, Attempt
 from roadpass.packing import pack, unpack
 
 ATTEMPT = Attempt(
@@ -74,4 +74,4 @@
     """
     attempt = ATTEMPT.to_message()
     assert len(pack(attempt)) < 0.6 * len(msgpack.packb(attempt))
-    assert len(pack(Question.of(ATTEMPT).to_message())) <= 60
+    assert len(pack(AdmissionCheck.of(ATTEMPT).to_message())) <= 60
--- a/tests/test_reader.py
+++ b/tests/test_reader.py
@@ -97,7 +97,7 @@
         self.asked: list[Address] = []
 
     def exchange(
-        self, address: Address, message: Message, *, timeout_s: float, rest_s: float = 0.0
+        self, address: Address, message: Message, *, timeout_s: float, frame_timeout_s: float = 0.0
     ) -> Message:
         self.asked.append(address)
         if address != self.reachable:
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -15,7 +15,7 @@
 from roadpass.evidence import HANGING_MS
 from roadpass.fence import Verdict
 from roadpass.fleet import Fleet
-from roadpass.message import Attempt, Question
+from roadpass.message import AdmissionCheck, Attempt
 from roadpass.outcome import Answered, NotRun, Outcome, Reason, Unknown
 from roadpass.pause import PauseWatch
 from roadpass.route import Route
@@ -179,7 +179,7 @@
     door = local._door
     for _ in range(9):
         door.end(clock.now(), door.begin(clock.now(), "r"), End.LOST)
-    assert sidecar.check(Question.of(before))["t"] == "not_run"
+    assert sidecar.check(AdmissionCheck.of(before))["t"] == "not_run"
     sidecar.configure(reborn(9))
     late = sidecar.run(attempt(2, target="i-1@7")).outcome
     assert isinstance(late, NotRun)
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -235,7 +235,7 @@
         "questions to peers end before the node does",
         "roadpass/transport.py",
         "self._view.ending.asks_until - clock.now()",
-        "CONNECT_S * 100.0",
+        "CONNECT_TIMEOUT_S * 100.0",
         "tests/test_ending.py",
     ),
     Mechanism(
