--- a/roadpass/datagram.py
+++ b/roadpass/datagram.py
@@ -1,4 +1,4 @@
-"""The sealed form of datagrams between nodes: packed, with a MAC behind it where there are keys."""
+"""Encoding of datagrams between nodes: packed, followed by a MAC if keys are configured."""
 
 import hmac
 from collections.abc import Sequence
@@ -12,11 +12,11 @@
 
 
 def seal(message: dict[str, Any], keys: Sequence[bytes]) -> bytes:
-    """Return the sealed form of a message.
+    """Return the encoded and authenticated form of a message.
 
     Args:
-        message: As `message.schema.json` has it.
-        keys: The first one seals; without any there is no MAC.
+        message: A message that follows `message.schema.json`.
+        keys: The first one signs; if empty, no MAC is added.
     """
     payload = pack(message)
     if not keys:
@@ -25,21 +25,21 @@
 
 
 def unseal(content: bytes, keys: Sequence[bytes]) -> Datagram:
-    """Return the checked message of a datagram.
+    """Verify, decode and check a datagram.
 
     Args:
-        content: As it came in.
-        keys: Any of them may have sealed it; without any there is no MAC.
+        content: The datagram as received.
+        keys: Keys that are accepted; if empty, no MAC is expected.
 
     Raises:
-        FrameError: It is not authentic, or malformed.
+        FrameError: The datagram is not authentic, or malformed.
     """
     payload = content
     if keys:
         payload, mac = content[:-MAC_BYTES], content[-MAC_BYTES:]
         macs = (_mac(key, payload) for key in keys)
         if not any(hmac.compare_digest(mac, one) for one in macs):
-            raise FrameError("The datagram is not authentic.")
+            raise FrameError("The datagram's MAC matches none of the keys.")
     return check_gossip(unpack(payload))
 
 
--- a/roadpass/gossip.py
+++ b/roadpass/gossip.py
@@ -1,4 +1,4 @@
-"""The gossip actor: owns the UDP socket and the membership view."""
+"""The gossip actor: owns the UDP socket and the membership view of this node."""
 
 import logging
 import random
@@ -17,10 +17,10 @@
 from roadpass.datagram import seal, unseal
 from roadpass.errors import FrameError
 from roadpass.gossip_messages import (
-    Arrival,
     Begin,
     Confirmed,
     CrashUpdate,
+    DatagramReceived,
     Events,
     InForce,
     Leave,
@@ -44,31 +44,31 @@
 
 TICK_S = 0.1
 PAUSE_S = 1.0
-"""A tick this late means that the process was paused."""
+"""A gap between ticks that is longer than this means that the process was paused."""
 MAX_DATAGRAM = 1200
 RECEIVE_BYTES = 2048
 READ_POLL_S = 1.0
-"""A reader that waits for ever would keep the address in use after the socket was closed."""
+"""Receive timeout: a read without one would keep the address in use after the socket is closed."""
 ANNOUNCE_FANOUT = 4
 ANNOUNCE_REPEATS = 2
 SYNC_PEERS = 3
-AGREEING_KEPT = 8
+MAX_AGREEING_PEERS = 8
 UNKNOWN_AGE_S = 1e6
 
 _log = logging.getLogger("roadpass.gossip")
 
 
 class Gossip(Actor):
-    """Keeps the membership view and spreads what is new.
+    """Maintains the membership view and exchanges updates with peers over UDP.
 
     Args:
-        settings: Of this node.
-        own: This node's record.
-        events: What to call on changes.
+        settings: Settings of this node.
+        own: Member record of this node.
+        events: Callbacks for changes.
         audit: The audit trail.
         metrics: Counts datagrams and bytes.
         rng: Source of randomness.
-        quarantine: What the node knows of requests under which targets ended.
+        quarantine: Records of requests during which targets crashed.
     """
 
     def __init__(
@@ -83,7 +83,7 @@
     ) -> None:
         super().__init__()
         self._quarantine = quarantine
-        self._tells_of_crashes = False
+        self._crashes_changed = False
         self._settings = settings
         self._members = Members(own, rng)
         self._events = events
@@ -94,29 +94,32 @@
         self._position = START
         self._agreeing: set[str] = set()
         self._announcements = 0
-        self._tells_on = False
+        self._hints_changed = False
         self._platform_seen_at = float("-inf")
         self._last_tick = clock.now()
-        self._told_leaving = False
+        self._leave_reported = False
         self._socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._ticker = Ticker("gossip-tick", TICK_S, lambda: self.actor_ref.tell(Tick()))
 
     @property
     def platform_age_s(self) -> float:
-        """Seconds since the platform is known to have answered anybody."""
+        """Seconds since the platform last answered any node, as far as this node knows."""
         return min(UNKNOWN_AGE_S, clock.now() - self._platform_seen_at)
 
     @property
     def agreeing_peers(self) -> int:
-        """Peers heard since this node's version went into force that hold nothing newer."""
+        """Number of peers heard from since this node's version took effect that hold no newer one.
+
+        Counted up to `MAX_AGREEING_PEERS`.
+        """
         return len(self._agreeing)
 
     def on_start(self) -> None:
-        """Bind the socket."""
+        """Bind the socket; datagrams are read only once `Begin` arrives."""
         address = (self._settings.address, self._settings.ports.gossip)
         self._socket.bind(address)
         self._socket.settimeout(READ_POLL_S)
-        _log.info("gossiping on %s:%d", *address)
+        _log.info("gossip listening on %s:%d", *address)
 
     def _begin(self) -> None:
         threading.Thread(target=self._read, name="gossip-read", daemon=True).start()
@@ -125,18 +128,18 @@
         self._ticker.start()
 
     def on_stop(self) -> None:
-        """Stop to tick and close the socket."""
+        """Stop the ticker and close the socket."""
         self._ticker.stop()
         self._socket.close()
 
     def handle(self, message: Any) -> None:
-        """Handle one message."""
+        """Handle one message, then publish the resulting membership changes."""
         match message:
             case Begin():
                 self._begin()
             case Tick():
                 self._on_tick()
-            case Arrival(content=content):
+            case DatagramReceived(content=content):
                 self._on_datagram(content)
             case Seed():
                 self._on_seed(message)
@@ -154,9 +157,9 @@
                 self._announcements = ANNOUNCE_REPEATS
                 self._announce()
             case CrashUpdate():
-                self._tells_of_crashes = True
+                self._crashes_changed = True
             case QuotaTalk():
-                self._talk(message)
+                self._send_quota(message)
             case PublishHint(target=target, scores=scores):
                 if self._hints.say(clock.now(), target, scores):
                     self._announce()
@@ -174,11 +177,11 @@
             for member in self._members.sample(SYNC_PEERS, hall=self._settings.hall):
                 self._send(Send((member.address, member.gossip_port), "sync", 0))
         self._last_tick = now
-        if self._announcements > 0 or self._tells_of_crashes:
+        if self._announcements > 0 or self._crashes_changed:
             self._announce()
-        elif self._tells_on:
+        elif self._hints_changed:
             self._announce(far=False)
-        self._tells_on = self._tells_of_crashes = False
+        self._hints_changed = self._crashes_changed = False
         if self._members.size == 1:
             for seed in self._settings.seeds:
                 self._send(Send(seed, "sync", 0))
@@ -188,12 +191,12 @@
     def _on_datagram(self, content: bytes) -> None:
         try:
             message = unseal(content, self._settings.keys)
-            self._take(message)
+            self._process_datagram(message)
         except (FrameError, ValueError, TypeError, OverflowError) as error:
             self._metrics.count("gossip_dropped")
             _log.debug("datagram dropped: %s", error)
 
-    def _take(self, message: Datagram) -> None:
+    def _process_datagram(self, message: Datagram) -> None:
         now = clock.now()
         answers = self._members.receive(
             now,
@@ -207,19 +210,19 @@
             hint = self._hints.hear(now, row)
             if hint is not None:
                 self._events.on_hint(hint.target, hint.scores)
-                self._tells_on = True
+                self._hints_changed = True
         for crash in message.get("crashes", ()):
             self._quarantine.hear(now, crash)
         reports = tuple(Report(*row) for row in message.get("usage", ()))
-        words = tuple(Allowance(*row) for row in message.get("allowances", ()))
-        if reports or words:
-            self._events.on_quota(QuotaTalk(message["sender"], reports, words))
-        self._hear_of_source(now, message)
+        allowances = tuple(Allowance(*row) for row in message.get("allowances", ()))
+        if reports or allowances:
+            self._events.on_quota(QuotaTalk(message["sender"], reports, allowances))
+        self._update_source_position(now, message)
         for answer in answers:
             self._send(answer)
 
-    def _hear_of_source(self, now: float, message: Datagram) -> None:
-        """Note what the sender holds of the platform, and how fresh that is."""
+    def _update_source_position(self, now: float, message: Datagram) -> None:
+        """Record what the sender holds of the platform or source, and how fresh that is."""
         age_s = message.get("platform_age_s", UNKNOWN_AGE_S)
         seen_at = now - max(0.0, age_s)
         if self._events.on_peer_position is None:
@@ -249,7 +252,7 @@
         if theirs > self._version:
             self._agreeing.discard(member.vm)
             self._events.on_version(theirs, (member.address, member.stream_port))
-        elif len(self._agreeing) < AGREEING_KEPT:
+        elif len(self._agreeing) < MAX_AGREEING_PEERS:
             self._agreeing.add(member.vm)
 
     def _on_seed(self, seed: Seed) -> None:
@@ -266,19 +269,22 @@
                 self._send(Send((member.address, member.gossip_port), "sync", 0))
 
     def _announce(self, *, far: bool = True) -> None:
-        """Tell some of the own data hall, and one of any, who tells on in its own."""
+        """Announce to some peers in this data hall and, if `far`, to one peer in any hall.
+
+        That peer forwards the announcement within its own data hall.
+        """
         self._announcements = max(0, self._announcements - 1)
         near = self._members.sample(ANNOUNCE_FANOUT - far, hall=self._settings.hall)
         for member in {*near, *self._members.sample(int(far))}:
             self._send(Send((member.address, member.gossip_port), "announce", 0))
 
-    def _talk(self, talk: QuotaTalk) -> None:
-        """Tell a node of customers' quotas."""
-        member = self._members.get(talk.vm)
+    def _send_quota(self, quota: QuotaTalk) -> None:
+        """Send quota reports or allowances to one node."""
+        member = self._members.get(quota.vm)
         if member is not None:
-            told = {"usage": talk.reports} if talk.reports else {"allowances": talk.words}
+            fields = {"usage": quota.reports} if quota.reports else {"allowances": quota.words}
             to = (member.address, member.gossip_port)
-            self._send(Send(to, "announce", 0), brief=True, extra=told)
+            self._send(Send(to, "announce", 0), brief=True, extra=fields)
 
     def _publish(self) -> None:
         for member in self._members.changes():
@@ -287,18 +293,21 @@
                 evidence = f"{member.state.name.lower()}, incarnation {member.incarnation}"
                 self._audit.record(Kind.MEMBER_STATE, member.vm, evidence)
         own = self._members.own
-        if own.state is MemberState.LEAVING and not self._told_leaving:
-            self._told_leaving = True
+        if own.state is MemberState.LEAVING and not self._leave_reported:
+            self._leave_reported = True
             self._events.on_leave()
 
     def _send(
         self, send: Send, *, brief: bool = False, extra: Mapping[str, Any] | None = None
     ) -> None:
-        """Send a datagram with what it is to tell, else the latest rumors, or the own one only."""
-        news = self._news(send, brief=brief)
-        message = {**self._message(send), **(extra or {}), "news": news}
-        while len(content := seal(message, self._settings.keys)) > MAX_DATAGRAM and len(news) > 1:
-            news.pop()
+        """Send a datagram with its own member rows, or else the latest rumors.
+
+        With `brief`, only this node's record is added. Rows that do not fit are dropped.
+        """
+        rows = self._member_rows(send, brief=brief)
+        message = {**self._message(send), **(extra or {}), "news": rows}
+        while len(content := seal(message, self._settings.keys)) > MAX_DATAGRAM and len(rows) > 1:
+            rows.pop()
         try:
             self._socket.sendto(content, send.to)
         except OSError as error:
@@ -310,19 +319,19 @@
             self._metrics.count(f"far_{send.type}s")
             self._metrics.count(f"far_{send.type}_bytes", len(content))
 
-    def _news(self, send: Send, *, brief: bool) -> list[Member]:
+    def _member_rows(self, send: Send, *, brief: bool) -> list[Member]:
         if brief or send.rows:
             return [self._members.own, *send.rows]
         return self._members.rumors()
 
     def _message(self, send: Send) -> dict[str, Any]:
-        """Return a datagram without its members."""
+        """Return the fields of a datagram, except its member rows."""
         now = clock.now()
         message: dict[str, Any] = {
             "t": send.type,
             "sender": self._settings.vm,
             "n": send.number,
-            **self._held(),
+            **self._position_fields(),
             "digest": self._version.digest,
             "platform_age_s": round(self.platform_age_s, 3),
         }
@@ -336,8 +345,8 @@
             message["crashes"] = crashes
         return message
 
-    def _held(self) -> dict[str, int]:
-        """Return the fields that tell what this node holds of the platform."""
+    def _position_fields(self) -> dict[str, int]:
+        """Return the fields with the platform revision or source position that this node holds."""
         if self._events.on_peer_position is None:
             return {"revision": self._version.revision}
         return self._position.to_message()
@@ -352,6 +361,6 @@
                 return
             self._metrics.count("gossip_received_bytes", len(content))
             try:
-                self.actor_ref.tell(Arrival(content, source))
+                self.actor_ref.tell(DatagramReceived(content, source))
             except pykka.ActorDeadError:
                 return
--- a/roadpass/gossip_messages.py
+++ b/roadpass/gossip_messages.py
@@ -1,4 +1,4 @@
-"""What the gossip actor is told, and what it calls when something changes."""
+"""Messages that the gossip actor handles, and the callbacks it invokes on changes."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -13,27 +13,27 @@
 
 
 class Begin(NamedTuple):
-    """All parts of the node are there: datagrams may come."""
+    """All components of the node have started; the actor may read datagrams now."""
 
 
 class Tick(NamedTuple):
-    """Time passes."""
+    """Sent by the ticker every `TICK_S` seconds."""
 
 
-class Arrival(NamedTuple):
-    """A datagram came in."""
+class DatagramReceived(NamedTuple):
+    """A datagram was received; its content is not checked yet."""
 
     content: bytes
     source: tuple[str, int]
 
 
 class Seed(NamedTuple):
-    """The platform's VM list came in.
+    """Members listed by the platform, or derived from the targets of a source.
 
     Args:
-        members: On the list.
-        leaving: VMs that leave.
-        spread: Whether others are to hear of them; not where all read the same list.
+        members: Listed members.
+        leaving: VMs that are leaving.
+        spread: Whether to gossip about them; `False` where all nodes read the same list.
     """
 
     members: tuple[Member, ...]
@@ -42,22 +42,22 @@
 
 
 class InForce(NamedTuple):
-    """A version is in force here; peers are to hear of it at once."""
+    """A configuration version took effect on this node and is announced to peers at once."""
 
     version: Version
 
 
 class PlatformSeen(NamedTuple):
-    """The platform answered this node just now."""
+    """The platform has just answered this node."""
 
 
 class Confirmed(NamedTuple):
     """The source had nothing newer than a position.
 
     Args:
-        position: In the history of the source; this node holds all up to it.
-        at: Clock seconds of that moment.
-        tell: Whether the data hall is to hear of it now, since this node read it itself.
+        position: Position in the history of the source; this node holds everything up to it.
+        at: Clock seconds at which that was confirmed.
+        tell: Whether to notify the data hall now, because this node read the source itself.
     """
 
     position: Position
@@ -66,30 +66,31 @@
 
 
 class Leave(NamedTuple):
-    """This node is leaving."""
+    """This node is leaving; peers are notified at once."""
 
 
 class CrashUpdate(NamedTuple):
-    """Something new is known of requests under which targets ended; peers are to hear of it."""
+    """There are new crash reports of requests during which targets ended; peers are notified."""
 
 
 class PublishHint(NamedTuple):
-    """A sidecar's word on one of its targets."""
+    """Scores of one of this VM's targets from its sidecar, to be sent to peers as a hint."""
 
     target: str
     scores: Scores
 
 
 class Events(NamedTuple):
-    """What the gossip actor calls when something changes; none of them may block.
+    """Callbacks of the gossip actor; they run in its thread and must not block.
 
     Args:
-        on_node: A node changed.
-        on_version: A peer has a version that differs from the own one; with its stream address.
-        on_hint: A word on a target came in.
-        on_leave: This node was told that it is leaving.
-        on_peer_position: A peer told up to where it holds the source, if this node follows one.
-        on_quota: A peer has told of customers' quotas.
+        on_node: The record of a node changed.
+        on_version: A peer holds a newer version than this node; with its stream address.
+        on_hint: A hint on a target was received from another sidecar.
+        on_leave: This node has entered the leaving state.
+        on_peer_position: A peer reported its position in the source; `None` if this node follows no
+            source.
+        on_quota: A peer sent quota reports or allowances.
     """
 
     on_node: Callable[[PeerNode], None]
--- a/roadpass/introduction.py
+++ b/roadpass/introduction.py
@@ -1,16 +1,16 @@
-"""Nodes as gossip and ingress know them: the own one, those a source tells of, and members."""
+"""Conversions between settings, platform lists, source entries, members and peer nodes."""
 
 from collections.abc import Iterable
 
 from roadpass.manifest import VmEntry
-from roadpass.member import UNHEARD, Member, MemberState
+from roadpass.member import UNKNOWN_INCARNATION, Member, MemberState
 from roadpass.settings import Settings
 from roadpass.source import TargetEntry
 from roadpass.view import PeerNode
 
 
 def own_member(settings: Settings, incarnation: int) -> Member:
-    """Return the node that has these settings."""
+    """Return this node's own member record."""
     return Member(
         settings.vm,
         incarnation,
@@ -24,11 +24,11 @@
 
 
 def listed_members(entries: Iterable[VmEntry]) -> tuple[Member, ...]:
-    """Return the nodes that the platform lists."""
+    """Return member records of the nodes that the platform lists."""
     return tuple(
         Member(
             entry.vm,
-            UNHEARD,
+            UNKNOWN_INCARNATION,
             MemberState.ALIVE,
             entry.address,
             entry.stream_port,
@@ -41,16 +41,16 @@
 
 
 def members_from_targets(settings: Settings, entries: Iterable[TargetEntry]) -> tuple[Member, ...]:
-    """Return the nodes beside the targets that a store names, but the own one.
+    """Return member records of the nodes on the VMs of a store's targets, except this node.
 
-    A target's IP number is its VM's there, and all nodes of the fleet use the same ports.
+    In a store, a target's IP address is that of its VM. All nodes of a fleet use the same ports.
     """
     ports = settings.ports
     halls = {entry.vm: entry.hall for entry in entries if entry.vm != settings.vm}
     return tuple(
         Member(
             vm,
-            UNHEARD,
+            UNKNOWN_INCARNATION,
             MemberState.ALIVE,
             vm,
             ports.stream,
@@ -63,7 +63,7 @@
 
 
 def node_of(member: Member) -> PeerNode:
-    """Return a member as the ingress knows it."""
+    """Return the ingress's view of a member."""
     return PeerNode(
         member.vm,
         member.address,
--- a/roadpass/member.py
+++ b/roadpass/member.py
@@ -1,14 +1,14 @@
-"""Members of the fleet as nodes tell each other of them, and the datagrams that do."""
+"""Member records as nodes gossip them, and requests to send datagrams."""
 
 from enum import IntEnum
 from typing import Any, NamedTuple
 
-UNHEARD = 0
-"""Incarnation of a node that was not heard yet; its own is always newer."""
+UNKNOWN_INCARNATION = 0
+"""Incarnation of a node that has not been heard from; the one it announces is always higher."""
 
 
 class MemberState(IntEnum):
-    """States in the order in which they override each other within one incarnation."""
+    """States of a member; within one incarnation a higher state overrides a lower one."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -17,7 +17,7 @@
 
 
 class Member(NamedTuple):
-    """What is known of a node; also the written form of a rumor."""
+    """The record of a node; also the serialized form of a rumor."""
 
     vm: str
     incarnation: int
@@ -30,7 +30,7 @@
 
     @classmethod
     def from_rumor(cls, row: Any) -> "Member":
-        """Build a member from a checked rumor."""
+        """Build a member from a rumor row that passed the schema check."""
         return cls(row[0], row[1], MemberState(row[2]), *row[3:])
 
 
@@ -38,11 +38,11 @@
     """A datagram to send.
 
     Args:
-        to: IP and port.
-        type: Of the datagram.
-        number: Of the probe.
-        on: VM that it is about, empty for none.
-        rows: Members to tell in place of the latest rumors, none for those.
+        to: IP address and port.
+        type: Type of the datagram.
+        number: Number of the probe that it belongs to, 0 for none.
+        on: VM that is probed or acknowledged, empty for none.
+        rows: Members to send instead of the latest rumors, empty to send those.
     """
 
     to: tuple[str, int]
@@ -53,7 +53,7 @@
 
 
 def overrides(new: Member, old: Member) -> bool:
-    """Tell whether a rumor replaces what is known: newer incarnation, or graver state."""
+    """Return whether a rumor replaces a record: newer incarnation, or same one and higher state."""
     if new.incarnation != old.incarnation:
         return new.incarnation > old.incarnation
     return new.state > old.state
--- a/roadpass/membership.py
+++ b/roadpass/membership.py
@@ -1,4 +1,4 @@
-"""Membership: a SWIM-like protocol as a pure state machine; datagrams in, datagrams out."""
+"""A SWIM-like membership protocol as a pure state machine: datagrams in, datagrams out."""
 
 import math
 import random
@@ -6,28 +6,29 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from roadpass.member import UNHEARD, Member, MemberState, Send, overrides
+from roadpass.member import UNKNOWN_INCARNATION, Member, MemberState, Send, overrides
 
-PERIOD_S = 1.0
-DIRECT_S = 0.35
-"""Wait for a direct acknowledgement before others are asked to probe."""
+PROBE_PERIOD_S = 1.0
+DIRECT_ACK_TIMEOUT_S = 0.35
+"""Seconds to wait for a direct acknowledgement before other members are asked to probe."""
 INDIRECT_PROBES = 3
-SUSPICION_S = 3.0
-"""Base of the time a suspect has to refute, times the logarithm of the group's size."""
-DEAD_KEPT_S = 600.0
-REJOIN_S = 2.0
-"""How often one dead member is probed, so that split parts find each other again."""
+SUSPICION_TIMEOUT_S = 3.0
+"""Base of the time in which a suspect can refute; multiplied by log10 of the group size."""
+DEAD_RETENTION_S = 600.0
+REJOIN_INTERVAL_S = 2.0
+"""Interval at which one dead member is probed, so that partitions merge again."""
 TRANSMIT_FACTOR = 3
 MAX_RUMORS = 10
-RELAY_KEPT_S = 2.0
-PAGE_ROWS = 8
-"""Members on one datagram of an answer to a sync: they fit into 1,200 bytes with hints beside."""
-INTRODUCED_MAX = 96
-"""Members that a sync is answered with at the most, chosen at random: 12 datagrams. Who asks three
-peers thus knows any fleet of today at once, and of a larger one enough to be found by the rest."""
-NEAR_PROBES = 0.95
-"""Share of the probes that go to members of the own data hall: bytes between data halls are paid
-for, and each of them has members enough to watch each other."""
+RELAY_RETENTION_S = 2.0
+MEMBERS_PER_DATAGRAM = 8
+"""Members in one datagram of a sync reply; with hints added they still fit into 1,200 bytes."""
+MAX_SYNC_MEMBERS = 96
+"""Maximum number of members in a sync reply, chosen at random: 12 datagrams. A node that syncs with
+three peers thus learns all of a fleet of current size at once, and enough of a larger one for the
+rest to discover it."""
+LOCAL_PROBE_SHARE = 0.95
+"""Share of the probes that go to members of the same data hall. Traffic between data halls is
+billed, and each hall has enough members to monitor each other."""
 
 
 @dataclass(slots=True)
@@ -35,7 +36,7 @@
     vm: str
     number: int
     sent_at: float
-    asked_others: bool = False
+    indirect_sent: bool = False
 
 
 @dataclass(slots=True)
@@ -54,10 +55,10 @@
 
 
 class Members:
-    """The view of the fleet that one node holds.
+    """One node's view of the fleet; not thread-safe.
 
     Args:
-        own: This node's record.
+        own: Record of this node.
         rng: Source of randomness.
     """
 
@@ -76,16 +77,16 @@
 
     @property
     def own(self) -> Member:
-        """This node's record."""
+        """Record of this node, with its current incarnation and state."""
         return self._own
 
     @property
     def size(self) -> int:
-        """Known members, this node included."""
+        """Number of known members, including this node and dead ones."""
         return len(self._members) + 1
 
     def get(self, vm: str) -> Member | None:
-        """Return what is known of another node."""
+        """Return the record of another node, `None` if it is unknown."""
         return self._members.get(vm)
 
     def all(self) -> list[Member]:
@@ -102,55 +103,62 @@
         return changed
 
     def seed(self, now: float, members: Iterable[Member], *, spread: bool = True) -> None:
-        """Take in members from a list that lags: only nodes not known yet are added.
+        """Add members from a list that may be stale: only unknown nodes are added.
 
         Args:
-            now: Seconds.
-            members: On the list.
-            spread: Whether others are to hear of them; not where all read the same list.
+            now: Clock seconds.
+            members: Listed members.
+            spread: Whether to gossip about them; `False` where all nodes read the same list.
         """
         for member in members:
             if member.vm not in self._members and member.vm != self._own.vm:
                 self._put(now, member, spread=spread)
 
     def leave(self) -> None:
-        """Say that this node is leaving."""
+        """Mark this node as leaving; its own record carries that in every datagram."""
         if self._own.state is not MemberState.LEAVING:
             self._set_own(self._own.incarnation, MemberState.LEAVING)
 
     def mark_leaving(self, now: float, vm: str) -> None:
-        """Spread that the platform lists a VM as leaving."""
+        """Mark a member that the platform lists as leaving, and gossip about it."""
         member = self._members.get(vm)
         if member is not None and member.state < MemberState.LEAVING:
             self._put(now, member._replace(state=MemberState.LEAVING))
 
     def tick(self, now: float) -> list[Send]:
-        """Probe, suspect, bury and forget as time passes."""
-        sends = self._ask_others(now)
+        """Run the timers: probe, suspect, declare dead and remove members.
+
+        Returns:
+            The datagrams to send.
+        """
+        sends = self._probe_indirectly(now)
         if now >= self._clocks.next_period:
-            self._clocks.next_period = now + PERIOD_S
+            self._clocks.next_period = now + PROBE_PERIOD_S
             self._end_probe(now)
-            self._bury(now)
+            self._expire(now)
             sends += self._start_probe(now)
         if now >= self._clocks.next_rejoin:
-            self._clocks.next_rejoin = now + REJOIN_S
+            self._clocks.next_rejoin = now + REJOIN_INTERVAL_S
             sends += self._probe_dead()
         return sends
 
     def resume(self, now: float) -> None:
-        """After a pause of this process: drop the probe under way and judge nobody by it."""
+        """Drop the pending probe and restart timers after a pause of this process.
+
+        A missing reply or an expired suspicion would otherwise be blamed on other members.
+        """
         self._probe = None
         self._relays.clear()
-        self._clocks.next_period = now + PERIOD_S
+        self._clocks.next_period = now + PROBE_PERIOD_S
         for vm, member in self._members.items():
             if member.state is MemberState.SUSPECT:
                 self._clocks.since[vm] = now
 
     def receive(
-        self, now: float, type_: str, sender: str, number: int, on: str, news: Iterable[Any]
+        self, now: float, type_: str, sender: str, number: int, on: str, rumors: Iterable[Any]
     ) -> list[Send]:
-        """Take in one checked datagram and return what it calls for."""
-        for row in news:
+        """Process one checked datagram and return the datagrams to send in response."""
+        for row in rumors:
             self.merge(now, Member.from_rumor(row), spread=type_ != "members")
         member = self._members.get(sender)
         if member is None:
@@ -162,7 +170,7 @@
             case "ping":
                 return [Send(back, "ack", number, self._own.vm)]
             case "sync":
-                return [Send(back, "ack", number, self._own.vm), *self._introduce(back)]
+                return [Send(back, "ack", number, self._own.vm), *self._member_pages(back)]
             case "ping_req":
                 return self._relay(now, back, number, on)
             case "ack":
@@ -171,18 +179,18 @@
                 return []
 
     def merge(self, now: float, member: Member, *, spread: bool = True) -> bool:
-        """Take in a rumor.
+        """Merge a rumor into the view.
 
         Args:
-            now: Seconds.
-            member: As the rumor has it.
-            spread: Whether others are to hear of it.
+            now: Clock seconds.
+            member: Record in the rumor.
+            spread: Whether to gossip about it.
 
         Returns:
-            Whether it was news.
+            Whether the view changed.
         """
         if member.vm == self._own.vm:
-            return self._hear_of_self(member)
+            return self._refute(member)
         known = self._members.get(member.vm)
         if known is None and member.state is MemberState.DEAD:
             return False
@@ -192,7 +200,7 @@
         return True
 
     def rumors(self) -> list[Member]:
-        """Return the rumors to put on the next datagram, the least sent first."""
+        """Return the records for the next datagram: this node's, then the least sent rumors."""
         limit = TRANSMIT_FACTOR * math.ceil(math.log2(self.size + 1))
         ordered = sorted(self._rumors, key=self._rumors.__getitem__)[: MAX_RUMORS - 1]
         chosen = [self._own]
@@ -206,7 +214,7 @@
         return chosen
 
     def hall_at(self, address: tuple[str, int]) -> str:
-        """Return the data hall of the member at an address, empty if none is known there."""
+        """Return the data hall of the member at an address, empty if the address is unknown."""
         return self._halls.get(address, "")
 
     def in_hall(self, hall: str) -> list[Member]:
@@ -214,7 +222,7 @@
         return [member for member in self.alive() if member.hall == hall]
 
     def sample(self, count: int, *, hall: str = "") -> list[Member]:
-        """Return some random members that are not dead, of a data hall first if it is named."""
+        """Return up to `count` random members that are not dead, those of `hall` first."""
         alive = self.alive()
         self._rng.shuffle(alive)
         alive.sort(key=lambda member: member.hall != hall)
@@ -223,7 +231,7 @@
     def _put(self, now: float, member: Member, *, spread: bool = True) -> None:
         known = self._members.get(member.vm)
         if known is not None and member.state is known.state is MemberState.ALIVE:
-            spread = spread and known.incarnation != UNHEARD
+            spread = spread and known.incarnation != UNKNOWN_INCARNATION
         self._members[member.vm] = member
         self._halls[(member.address, member.gossip_port)] = member.hall
         if known is None:
@@ -237,7 +245,7 @@
     def _set_own(self, incarnation: int, state: MemberState) -> None:
         self._own = self._own._replace(incarnation=incarnation, state=state)
 
-    def _hear_of_self(self, member: Member) -> bool:
+    def _refute(self, member: Member) -> bool:
         if member.incarnation < self._own.incarnation:
             return False
         if member.state is MemberState.LEAVING and member.incarnation == self._own.incarnation:
@@ -249,9 +257,9 @@
         return False
 
     def _start_probe(self, now: float) -> list[Send]:
-        near = self._rng.random() < NEAR_PROBES
+        near = self._rng.random() < LOCAL_PROBE_SHARE
         for _ in range(len(self._order)):
-            vm = self._order.pop(self._next_in_order(near=near))
+            vm = self._order.pop(self._next_to_probe(near=near))
             member = self._members.get(vm)
             if member is None:
                 continue
@@ -265,19 +273,22 @@
             return [Send((member.address, member.gossip_port), "ping", self._number)]
         return []
 
-    def _next_in_order(self, *, near: bool) -> int:
-        """Return the place of the next to probe, of the own data hall or not, if there is one."""
+    def _next_to_probe(self, *, near: bool) -> int:
+        """Return the index of the next member to probe, in this data hall or outside it.
+
+        The first member in order is used if there is no such member.
+        """
         for place, vm in enumerate(self._order):
             member = self._members.get(vm)
             if member is not None and (member.hall == self._own.hall) is near:
                 return place
         return 0
 
-    def _ask_others(self, now: float) -> list[Send]:
+    def _probe_indirectly(self, now: float) -> list[Send]:
         probe = self._probe
-        if probe is None or probe.asked_others or now - probe.sent_at < DIRECT_S:
+        if probe is None or probe.indirect_sent or now - probe.sent_at < DIRECT_ACK_TIMEOUT_S:
             return []
-        probe.asked_others = True
+        probe.indirect_sent = True
         others = [m for m in self.alive() if m.vm != probe.vm]
         chosen = self._rng.sample(others, min(INDIRECT_PROBES, len(others)))
         return [
@@ -303,13 +314,13 @@
         self._number += 1
         return [Send((member.address, member.gossip_port), "ping", self._number)]
 
-    def _bury(self, now: float) -> None:
-        limit = SUSPICION_S * max(1.0, math.log10(self.size))
+    def _expire(self, now: float) -> None:
+        limit = SUSPICION_TIMEOUT_S * max(1.0, math.log10(self.size))
         for vm, member in list(self._members.items()):
             age = now - self._clocks.since.get(vm, now)
             if member.state is MemberState.SUSPECT and age >= limit:
                 self._put(now, member._replace(state=MemberState.DEAD))
-            elif member.state is MemberState.DEAD and age >= DEAD_KEPT_S:
+            elif member.state is MemberState.DEAD and age >= DEAD_RETENTION_S:
                 self._forget(vm)
 
     def _forget(self, vm: str) -> None:
@@ -322,21 +333,25 @@
         member = self._members.get(on)
         if member is None:
             return []
-        old = [n for n, relay in self._relays.items() if now - relay.at > RELAY_KEPT_S]
+        old = [n for n, relay in self._relays.items() if now - relay.at > RELAY_RETENTION_S]
         for n in old:
             del self._relays[n]
         self._number += 1
         self._relays[self._number] = _Relay(to, number, on, now)
         return [Send((member.address, member.gossip_port), "ping", self._number)]
 
-    def _introduce(self, to: tuple[str, int]) -> list[Send]:
-        """Tell a node that starts of all members.
+    def _member_pages(self, to: tuple[str, int]) -> list[Send]:
+        """Return datagrams that introduce up to `MAX_SYNC_MEMBERS` members to a starting node.
 
-        It hears those of its own data hall within seconds by itself, the others only by chance.
+        It learns the members of its own data hall within seconds through gossip, but those of other
+        data halls only by chance.
         """
         known = self.alive()
-        rows = self._rng.sample(known, min(INTRODUCED_MAX, len(known)))
-        pages = [tuple(rows[at : at + PAGE_ROWS]) for at in range(0, len(rows), PAGE_ROWS)]
+        rows = self._rng.sample(known, min(MAX_SYNC_MEMBERS, len(known)))
+        pages = [
+            tuple(rows[at : at + MEMBERS_PER_DATAGRAM])
+            for at in range(0, len(rows), MEMBERS_PER_DATAGRAM)
+        ]
         return [Send(to, "members", 0, rows=page) for page in pages]
 
     def _acknowledge(self, number: int, on: str) -> list[Send]:
--- a/roadpass/message.py
+++ b/roadpass/message.py
@@ -1,4 +1,4 @@
-"""Messages between nodes: their checks and the outcomes' written form."""
+"""Messages between nodes: schema checks, and conversion to and from Python types."""
 
 from collections.abc import Callable, Mapping
 from typing import Any, NamedTuple, TypeAlias
@@ -31,10 +31,10 @@
 from roadpass.outcome import Answered, NotRun, Outcome, Reason, Unknown
 
 UNBOUNDED_MS = 1e9
-"""Milliseconds that stand for no bound: no message holds an infinite number."""
+"""Milliseconds that mean no limit, because messages cannot hold an infinite number."""
 
 Message: TypeAlias = Mapping[str, Any]
-"""A checked message; the generated typed dictionaries are its forms."""
+"""A message that passed its schema check; the generated typed dictionaries describe the types."""
 
 _CHECKS: Mapping[str, Callable[[Any], Any]] = {
     "hello": check_hello.validate,
@@ -59,25 +59,25 @@
 
 
 class Attempt(NamedTuple):
-    """One attempt at a request, as the sidecar gets it; times in milliseconds.
+    """One attempt at a request, as sent to the sidecar; times in milliseconds.
 
     Args:
         id: Ingress VM, its incarnation and a counter.
-        remaining_ms: Time the ingress will still wait for it.
-        revision: Configuration revision the ingress chose the target by.
-        slow_ms: What counts as slow among the service's other targets, 0 if unknown.
-        key: The caller's idempotency key in its service, empty for none.
-        repeat: Whether the caller declared a repeat of that key.
-        request_id: The caller's name for its request, empty for none.
-        origin: Service of the VM at which the request began, empty if unknown.
-        may_wait: Whether it may queue at the target; otherwise it wants a free slot or a refusal.
-        pressing: Whether every target refused it before: a failing one is better than none.
-        last: Whether no other attempt may follow it.
-        most_bad: How probably bad a target it takes, 0 to 1.
-        most_wait_ms: Milliseconds that it would wait for a slot at the most.
-        usual_ms: Milliseconds that one of its kind usually takes, 0 if the ingress does not know.
-        fingerprint: Of the request, see `roadpass.fingerprint`; empty if the ingress tells none.
-        customer: Whose request it is, empty if nobody's in particular.
+        remaining_ms: How much longer the ingress will wait for the reply.
+        revision: Configuration revision by which the ingress chose the target.
+        slow_ms: Latency that counts as slow by the service's other targets, 0 if unknown.
+        key: The caller's idempotency key, scoped to the service, empty for none.
+        repeat: Whether the caller declared the request a repeat with that key.
+        request_id: Request id set by the caller, empty for none.
+        origin: Service of the VM at which the request originated, empty if unknown.
+        may_wait: Whether it may queue at the target; otherwise it gets a free slot or a refusal.
+        pressing: Whether all targets refused it before, so that a failing one is better than none.
+        last: Whether no other attempt may follow.
+        most_bad: Highest acceptable probability that the target is failing, 0 to 1.
+        most_wait_ms: Longest acceptable wait for a slot in milliseconds.
+        usual_ms: Typical latency of such requests in milliseconds, 0 if the ingress has none.
+        fingerprint: Fingerprint of the request, see `roadpass.fingerprint`; empty if not sent.
+        customer: Customer that sent the request, empty for none.
     """
 
     id: str
@@ -109,17 +109,17 @@
 
     @property
     def may_be_trial(self) -> bool:
-        """Whether it may go where it will probably fail: it can be repeated and has yet to be."""
+        """Whether it may go to a target that will probably fail: repeatable and not yet retried."""
         return self.repeatable and not self.retry
 
     @property
     def spare(self) -> bool:
-        """Whether the request is not lost with it, or would be refused without it."""
+        """Whether its failure does not lose the request, or without it the request is refused."""
         return self.pressing or not self.last
 
     @property
     def ingress(self) -> str:
-        """VM of the ingress that made it."""
+        """VM of the ingress that created the attempt, taken from its id."""
         return self.id.split("/", 1)[0]
 
     @classmethod
@@ -127,7 +127,7 @@
         """Build an attempt from a checked message.
 
         Raises:
-            FrameError: Its body is not bytes.
+            FrameError: The body is not bytes.
         """
         if not isinstance(message["body"], bytes):
             raise FrameError("The attempt's body is not bytes.")
@@ -136,22 +136,22 @@
         return cls(**fields)
 
     def to_message(self) -> Message:
-        """Return the written form."""
+        """Return the wire form."""
         return {"t": "attempt", **self._asdict()}
 
 
 class AdmissionCheck(NamedTuple):
-    """What a sidecar needs to know to tell whether it would take an attempt.
+    """Asks a sidecar whether it would accept an attempt; sent before the attempt itself.
 
     Args:
-        may_be_trial: Whether it may go where it will probably fail.
-        may_wait: Whether it may queue there.
-        pressing: Whether every target refused it before.
-        most_bad: How probably bad a target it takes, 0 to 1.
-        most_wait_ms: Milliseconds that it would wait for a slot at the most.
-        spare: Whether the request is not lost with the attempt.
-        repeat: Whether it repeats one that reached a target.
-        route: Of the request, by which its usual time is known.
+        may_be_trial: Whether the attempt may go to a target that will probably fail.
+        may_wait: Whether it may queue at the target.
+        pressing: Whether all targets refused the request before.
+        most_bad: Highest acceptable probability that the target is failing, 0 to 1.
+        most_wait_ms: Longest acceptable wait for a slot in milliseconds.
+        spare: Whether the failure of the attempt does not lose the request.
+        repeat: Whether an earlier attempt at the request reached a target.
+        route: Route of the request, by which its typical latency is looked up.
     """
 
     target: str
@@ -167,7 +167,7 @@
 
     @classmethod
     def of(cls, attempt: Attempt) -> "AdmissionCheck":
-        """Build the question of an attempt."""
+        """Build the check for an attempt."""
         return cls(
             attempt.target,
             attempt.traffic_class,
@@ -183,7 +183,7 @@
 
     @classmethod
     def from_message(cls, message: Message) -> "AdmissionCheck":
-        """Build a question from a checked message."""
+        """Build an admission check from a checked message."""
         return cls(
             message["target"],
             message["traffic_class"],
@@ -198,7 +198,7 @@
         )
 
     def to_message(self) -> Message:
-        """Return the written form, without what is as usual: questions are many."""
+        """Return the wire form without default values, since these messages are frequent."""
         message: dict[str, Any] = {
             "t": "check",
             "target": self.target,
@@ -221,12 +221,12 @@
 
 
 class LoadReport(NamedTuple):
-    """What a sidecar says of one of its targets with every answer.
+    """State of a target that its sidecar reports with every reply.
 
     Args:
-        latency_ms: 95th percentile of its service time, 0 while too few samples tell.
-        bad: How probable it is that the target is in a bad spell, 0 to 1.
-        wait_ms: Milliseconds that who asked would wait for a slot there.
+        latency_ms: 95th percentile of the service time, 0 while there are too few samples.
+        bad: Probability that the target is in a period of failures, 0 to 1.
+        wait_ms: Milliseconds that the requester would wait for a slot.
     """
 
     in_flight: int
@@ -241,11 +241,11 @@
 
 
 class Reply(NamedTuple):
-    """An outcome, and what its sidecar tells besides.
+    """A sidecar's reply: the outcome, with reports on the target and the request.
 
     Args:
-        load: Report on the target, if one came with it.
-        crash: What is known of the request if targets ended under it, see `roadpass.quarantine`.
+        load: Load report of the target, if included.
+        crash: Crash record if targets ended during the request, see `roadpass.quarantine`.
     """
 
     outcome: Outcome
@@ -257,16 +257,16 @@
         """Build a reply from a checked message.
 
         Raises:
-            FrameError: It is no reply, or names an unknown reason.
+            FrameError: The message is not a reply, or names an unknown reason.
         """
         load = LoadReport(**message["load"]) if "load" in message else None
         try:
             return cls(_outcome_from_message(message), load, message.get("crash"))
         except ValueError as error:
-            raise FrameError(f"The reply is not usable: {error}.") from error
+            raise FrameError(f"The reply is invalid: {error}.") from error
 
     def to_message(self) -> Message:
-        """Return the written form."""
+        """Return the wire form."""
         message = dict(_outcome_to_message(self.outcome))
         if self.load is not None:
             message["load"] = self.load._asdict()
@@ -276,25 +276,25 @@
 
 
 def check(message: Any) -> Message:
-    """Check a frame's content against the schema of its type.
+    """Check the content of a frame against the schema of its type.
 
     Raises:
-        FrameError: It is malformed.
+        FrameError: The content is malformed or its type unknown.
     """
     if not isinstance(message, dict) or not isinstance(message.get("t"), str):
-        raise FrameError("The frame has no type.")
+        raise FrameError("The frame has no message type.")
     checker = _CHECKS.get(message["t"])
     if checker is None:
-        raise FrameError("The frame has an unknown type.")
+        raise FrameError("The frame has an unknown message type.")
     _run(checker, message)
     return message
 
 
 def check_gossip(message: Any) -> Datagram:
-    """Check a datagram's content against its schema.
+    """Check the content of a datagram against its schema.
 
     Raises:
-        FrameError: It is malformed.
+        FrameError: The content is malformed.
     """
     _run(check_datagram.validate, message)
     checked: Datagram = message
@@ -314,14 +314,14 @@
             headers = [(name, value) for name, value in message["headers"]]
             body = message["body"]
             if not isinstance(body, bytes):
-                raise FrameError("The answer's body is not bytes.")
+                raise FrameError("The body of the response is not bytes.")
             return Answered(message["status"], headers, body, message["service_ms"])
         case "not_run":
             return NotRun(Reason(message["reason"]), message["retry_after_ms"])
         case "unknown":
             return Unknown(Reason(message["reason"]))
         case other:
-            raise FrameError(f"The frame '{other}' is no reply.")
+            raise FrameError(f"A message of type '{other}' is not a reply.")
 
 
 def _outcome_to_message(outcome: Outcome) -> Message:
--- a/roadpass/packing.py
+++ b/roadpass/packing.py
@@ -1,7 +1,7 @@
-"""The packed form of messages between nodes: msgpack, deflated with a dictionary of usual words.
+"""Encoding of messages between nodes: msgpack, deflated with a preset dictionary of common strings.
 
-Most of a short message is the names of its fields, which every message repeats; bytes between data
-halls are paid for.
+A short message consists mostly of its field names, which every message repeats, and traffic between
+data halls is billed.
 """
 
 import zlib
@@ -12,14 +12,14 @@
 from roadpass.errors import FrameError
 
 MAX_BYTES = 16 * 1024 * 1024
-"""Bytes of an unpacked message at most."""
+"""Maximum size of an unpacked message in bytes."""
 _WINDOW = -12
-"""Deflate's window of 4 KB, without header: the dictionary and a usual message fit in it."""
+"""Raw deflate with a window of 4 KB, which holds the dictionary and a typical message."""
 _LEVEL = 6
-_MEMORY = 3
-"""Deflate's memory level: some 20 KB for each message in work, far less than the usual
-level takes."""
-_WORDS = (
+_MEMORY_LEVEL = 3
+"""Deflate's memory level: about 20 KB for each message being packed, far less than at the default
+level."""
+_DICTIONARY = (
     b"manifest documents whole config withdrawn targets away_age_s age_s catch_up news "
     b"announce sync ping_req ping ack sender hints on digest platform_age_s n revision "
     b"fenced fence_key fence verdict never_starts started cannot_vouch hello incarnation "
@@ -39,22 +39,22 @@
 
 
 def pack(value: Any) -> bytes:
-    """Return the packed form of a value that msgpack can hold."""
-    packer = zlib.compressobj(_LEVEL, zlib.DEFLATED, _WINDOW, _MEMORY, zdict=_WORDS)
+    """Return the packed form of a value that msgpack supports."""
+    packer = zlib.compressobj(_LEVEL, zlib.DEFLATED, _WINDOW, _MEMORY_LEVEL, zdict=_DICTIONARY)
     return packer.compress(msgpack.packb(value)) + packer.flush()
 
 
 def unpack(data: bytes) -> Any:
-    """Return the value of a packed form.
+    """Return the value that was packed.
 
     Raises:
-        FrameError: It is malformed or too long.
+        FrameError: The data is malformed, truncated, too long or followed by other bytes.
     """
-    unpacker = zlib.decompressobj(_WINDOW, zdict=_WORDS)
+    unpacker = zlib.decompressobj(_WINDOW, zdict=_DICTIONARY)
     try:
         plain = unpacker.decompress(data, MAX_BYTES)
         if not unpacker.eof or unpacker.unused_data:
-            raise FrameError("The message is cut off, too long, or has more behind it.")
+            raise FrameError("The message is truncated, too long, or followed by extra bytes.")
         return msgpack.unpackb(plain, strict_map_key=True)
     except (zlib.error, ValueError, TypeError, msgpack.UnpackException) as error:
         raise FrameError(f"The message cannot be unpacked: {error}.") from error
--- a/roadpass/stream.py
+++ b/roadpass/stream.py
@@ -1,8 +1,8 @@
-"""Streams between nodes: length-bounded packed frames over TCP, with age and a keyed MAC.
+"""Streams between nodes: packed frames of limited length over TCP, with an age and a keyed MAC.
 
-A connection is used by one exchange at a time. Each frame carries its sender's monotonic clock;
-the smallest difference to the receiver's clock seen on the connection is the transit time of an
-undelayed frame, and what a frame exceeds it by is the frame's age.
+A connection carries one exchange at a time. Each frame contains its sender's monotonic time. The
+smallest difference from the receiver's clock seen on the connection is taken as the transit time of
+an undelayed frame; the amount by which a frame exceeds it is the frame's age.
 """
 
 import hmac
@@ -24,39 +24,40 @@
 MAC_BYTES = 16
 MAX_FRAME_BYTES = 16 * 1024 * 1024
 HELLO_LIMIT_S = 1.0
-"""A slower handshake is given up: its delay bounds the error of a frame's age."""
+"""Handshake timeout. The handshake's delay bounds the error of a frame's age."""
 FRAME_LIMIT_S = 10.0
-"""Seconds to write a frame, and from the first byte to the last of one that nobody waits for: 16 MB
-take as long on a link of 13 Mbit/s."""
+"""Timeout for writing a frame, and for reading one from its first byte to its last where no request
+waits for it: 16 MB take that long on a link of 13 Mbit/s."""
 READ_MIN_S = 0.001
-"""Seconds that a read may take although its time is over: what has arrived is taken."""
+"""Minimum socket timeout, so that data that has already arrived is read after the deadline."""
 _HEADER = struct.Struct(">I")
 _SEQUENCE = struct.Struct(">Q")
 _NS = 1e9
 
 
 class Received(NamedTuple):
-    """A checked message and its age in seconds."""
+    """A checked message and its age in seconds, which excludes the normal transit time."""
 
     message: Message
     age_s: float
 
 
-class CallerGoneError(StreamError):
-    """The caller closed its connection while the reply was awaited."""
+class CallerDisconnectedError(StreamError):
+    """The caller disconnected before the reply arrived."""
 
 
 class Stream:
     """One authenticated connection after its handshake.
 
     Args:
-        sock: Connected socket; the stream owns it from now on.
-        keys: The first signs, all are accepted; empty for no MAC.
+        sock: Connected socket; the stream takes ownership of it.
+        keys: The first one signs, all are accepted; empty for no MAC.
         client: Whether this side opened the connection.
 
     Attributes:
-        kept_until: Clock seconds until which the first byte of a frame is awaited in any case.
-        carried: Bytes of frames sent and received since it was last set to zero.
+        extended_deadline: Clock seconds until which to wait for the first byte of a frame, even
+            past the timeout of the read.
+        byte_count: Bytes of frames sent and received since it was last reset to zero.
     """
 
     def __init__(self, sock: socket.socket, keys: Sequence[bytes], *, client: bool) -> None:
@@ -70,8 +71,8 @@
         self._buffer = bytearray()
         self.peer_incarnation = 0
         self.idle_since = 0.0
-        self.kept_until = 0.0
-        self.carried = 0
+        self.extended_deadline = 0.0
+        self.byte_count = 0
 
     @classmethod
     def connect(
@@ -86,25 +87,25 @@
         """Open a connection and exchange hellos.
 
         Args:
-            address: IP number and port.
+            address: IP address and port.
             keys: See the class.
             hello: This node's hello message.
-            timeout_s: Limit for all of it.
-            source: IP number to connect from, empty for any.
+            timeout_s: Timeout for connecting and the handshake together.
+            source: IP address to connect from, empty for any.
 
         Raises:
             ConnectError: The peer could not be reached in time; nothing but the hello was sent.
         """
         limit = min(timeout_s, HELLO_LIMIT_S)
         if limit <= 0.0:
-            raise ConnectError(f"No time is left to connect to {address[0]}:{address[1]}.")
+            raise ConnectError(f"Deadline passed before connecting to {address[0]}:{address[1]}.")
         deadline = clock.now() + limit
         try:
             sock = socket.create_connection(
                 address, timeout=limit, source_address=(source, 0) if source else None
             )
         except OSError as error:
-            raise ConnectError(f"No connection to {address[0]}:{address[1]}: {error}.") from error
+            raise ConnectError(f"Cannot connect to {address[0]}:{address[1]}: {error}.") from error
         stream = cls(sock, keys, client=True)
         try:
             stream._handshake(deadline)
@@ -115,16 +116,16 @@
             raise ConnectError(f"No handshake with {address[0]}:{address[1]}: {error}.") from error
         if reply["t"] != "hello":
             stream.close()
-            raise ConnectError(f"{address[0]}:{address[1]} did not say hello.")
+            raise ConnectError(f"{address[0]}:{address[1]} did not send a hello message.")
         stream.peer_incarnation = reply["incarnation"]
         return stream
 
     @classmethod
     def accept(cls, sock: socket.socket, keys: Sequence[bytes], hello: Message) -> "Stream":
-        """Answer a handshake on an accepted socket.
+        """Perform the server side of the handshake on an accepted socket.
 
         Raises:
-            StreamError: The peer does not speak this protocol or lacks the key.
+            StreamError: The peer does not use this protocol or lacks the key, or is too slow.
         """
         stream = cls(sock, keys, client=False)
         deadline = clock.now() + HELLO_LIMIT_S
@@ -132,7 +133,7 @@
             stream._handshake(deadline)
             first = stream.receive(deadline - clock.now()).message
             if first["t"] != "hello":
-                raise FrameError("The first frame is no hello.")
+                raise FrameError("The first frame is not a hello message.")
             stream.send(hello, timeout_s=deadline - clock.now())
         except OSError as error:
             stream.close()
@@ -144,7 +145,7 @@
 
     @property
     def reusable(self) -> bool:
-        """Whether the peer has neither closed the connection nor sent anything unasked."""
+        """Whether the connection is open and has no unsolicited data to read."""
         if self._buffer:
             return False
         return not _readable(self._sock, 0.0)
@@ -153,11 +154,12 @@
         """Write one frame.
 
         Args:
-            message: What it holds.
-            timeout_s: Time for all of it.
+            message: Content of the frame.
+            timeout_s: Timeout for writing the whole frame.
 
         Raises:
-            StreamError: It may have been written in part.
+            FrameError: The frame is too long; nothing was sent.
+            StreamError: Sending failed; part of the frame may have been written.
         """
         payload = pack((clock.now_ns(), message))
         if len(payload) > MAX_FRAME_BYTES:
@@ -168,9 +170,9 @@
         try:
             self._sock.settimeout(max(READ_MIN_S, timeout_s))
             self._sock.sendall(frame)
-            self.carried += len(frame)
+            self.byte_count += len(frame)
         except OSError as error:
-            raise StreamError(f"The frame was not written: {error}.") from error
+            raise StreamError(f"Sending a frame failed: {error}.") from error
 
     def receive(
         self, timeout_s: float, *, caller: CallerWatch | None = None, frame_timeout_s: float = 0.0
@@ -178,15 +180,16 @@
         """Wait for one frame.
 
         Args:
-            timeout_s: Time until all of it is there: an actor that waits for a peer must not stand
-                still because the peer, or the way from it, stalls in the middle of a frame.
-            caller: Tells when the caller has left, which ends the wait for the first byte.
-            frame_timeout_s: Time from its first byte to its last, where that is longer.
+            timeout_s: Timeout for the whole frame: an actor must not block because a peer, or the
+                network path from it, stalls in the middle of a frame.
+            caller: Reports when the caller has disconnected, which ends the wait for the first
+                byte.
+            frame_timeout_s: Time allowed from the first byte to the last, if that ends later.
 
         Raises:
-            ReplyTimeoutError: It was not there in time.
-            CallerGoneError: The caller closed its connection.
-            StreamError: The connection is lost or the frame is bad.
+            ReplyTimeoutError: The frame did not arrive in time.
+            CallerDisconnectedError: The caller closed its connection.
+            StreamError: The connection was lost or the frame is invalid.
         """
         deadline = clock.now() + timeout_s
         if not self._buffer:
@@ -198,19 +201,19 @@
             if length > MAX_FRAME_BYTES + MAC_BYTES:
                 raise FrameError("The received frame is too long.")
             frame = self._read(length, deadline)
-            self.carried += _HEADER.size + length
+            self.byte_count += _HEADER.size + length
         except TimeoutError as error:
-            raise ReplyTimeoutError("The frame was not whole in time.") from error
+            raise ReplyTimeoutError("The frame was not received completely in time.") from error
         except OSError as error:
-            raise StreamError(f"The connection is lost: {error}.") from error
+            raise StreamError(f"The connection was lost: {error}.") from error
         return self._open(frame)
 
     def close(self) -> None:
-        """Close the connection."""
+        """Close the connection; the stream cannot be used afterwards."""
         self._sock.close()
 
     def shutdown(self) -> None:
-        """End the connection so that a thread that waits on it wakes."""
+        """Shut the connection down, which wakes a thread that waits on it."""
         try:
             self._sock.shutdown(socket.SHUT_RDWR)
         except OSError:
@@ -223,14 +226,14 @@
         self._sock.sendall(MAGIC + own)
         greeting = self._read(len(MAGIC) + NONCE_BYTES, deadline)
         if not greeting.startswith(MAGIC):
-            raise FrameError("The peer speaks another protocol.")
+            raise FrameError("The peer uses another protocol or version.")
         theirs = greeting[len(MAGIC) :]
         self._nonce = own + theirs if self._client else theirs + own
 
     def _await_data(self, timeout_s: float, caller: CallerWatch | None) -> None:
         deadline = clock.now() + timeout_s
         while True:
-            left = min(clock.STEP_S, max(deadline, self.kept_until) - clock.now())
+            left = min(clock.STEP_S, max(deadline, self.extended_deadline) - clock.now())
             poller = select.poll()
             poller.register(self._sock, select.POLLIN)
             if caller is not None and caller.watchable:
@@ -240,8 +243,8 @@
                 return
             if caller is not None and ready:
                 if caller.gone():
-                    raise CallerGoneError("The caller closed its connection.")
-            elif not ready and clock.now() >= max(deadline, self.kept_until):
+                    raise CallerDisconnectedError("The caller closed its connection.")
+            elif not ready and clock.now() >= max(deadline, self.extended_deadline):
                 raise ReplyTimeoutError("The peer did not reply in time.")
 
     def _read(self, size: int, deadline: float) -> bytes:
@@ -252,7 +255,7 @@
                 raise StreamError("The peer closed the connection.")
             self._buffer += chunk
             if len(self._buffer) < size and clock.now() >= deadline:
-                raise ReplyTimeoutError("The frame was not whole in time.")
+                raise ReplyTimeoutError("The frame was not received completely in time.")
         data = bytes(self._buffer[:size])
         del self._buffer[:size]
         return data
@@ -262,7 +265,7 @@
         if self._keys:
             payload, mac = frame[:-MAC_BYTES], frame[-MAC_BYTES:]
             if not self._authentic(payload, mac):
-                raise FrameError("The frame is not authentic.")
+                raise FrameError("The frame's MAC matches none of the keys.")
         self._received += 1
         sent_ns, message = _unpack(payload)
         difference = clock.now_ns() - sent_ns
@@ -284,9 +287,9 @@
     try:
         sent_ns, message = unpack(payload)
     except (ValueError, TypeError) as error:
-        raise FrameError(f"The frame holds no message: {error}.") from error
+        raise FrameError(f"The frame contains no message: {error}.") from error
     if not isinstance(sent_ns, int):
-        raise FrameError("The frame has no time.")
+        raise FrameError("The frame has no send time.")
     return sent_ns, message
 
 
--- a/roadpass/stream_server.py
+++ b/roadpass/stream_server.py
@@ -1,4 +1,4 @@
-"""The server of peers' streams: takes what ingresses elsewhere send to this node's sidecar."""
+"""The server for peer streams: receives requests from other nodes for this node's sidecar."""
 
 import logging
 import socket
@@ -13,14 +13,15 @@
 from roadpass.stream import FRAME_LIMIT_S, Stream
 
 MAX_STREAMS = 1024
-"""Streams held at once, each by a thread."""
+"""Maximum number of open streams, each served by one thread."""
 IDLE_LIMIT_S = 60.0
-"""Seconds after which a stream without an exchange is closed."""
+"""Idle timeout: seconds without an exchange after which a stream is closed."""
 OUTCOMES = ("answered", "unknown")
-"""Replies that a stop waits for until they are written: their attempts may have run, and large ones
-take seconds on a slow link. Refusals are short, and come as long as peers ask."""
+"""Reply types that a shutdown waits for until they are written: their attempts may have run, and
+large replies take seconds on a slow link. Refusals are short, and continue while peers send
+requests."""
 ACCEPT_POLL_S = 0.2
-"""Seconds between looks at whether to stop listening."""
+"""Interval at which the accept loop checks whether to stop."""
 
 _log = logging.getLogger("roadpass.sidecar")
 
@@ -29,8 +30,8 @@
     """Owns the listening socket for peer streams; one thread serves one stream.
 
     Args:
-        settings: Of this node.
-        sidecar: Answers the messages.
+        settings: Settings of this node.
+        sidecar: Handles the messages.
     """
 
     def __init__(self, settings: Settings, sidecar: Sidecar) -> None:
@@ -42,7 +43,7 @@
         self._slots = threading.Semaphore(MAX_STREAMS)
 
     def on_start(self) -> None:
-        """Listen and accept."""
+        """Bind the port and start the accept thread."""
         address = (self._settings.address, self._settings.ports.stream)
         self._listener = socket.create_server(address, backlog=512)
         self._listener.settimeout(ACCEPT_POLL_S)
@@ -50,7 +51,7 @@
         _log.info("listening for peers on %s:%d", *address)
 
     def on_stop(self) -> None:
-        """Stop to accept; open streams end with the process."""
+        """Stop accepting connections; open streams last until the process exits."""
         self._closed.set()
         if self._listener is not None:
             self._listener.close()
@@ -66,30 +67,30 @@
             except OSError as error:
                 if self._closed.is_set():
                     return
-                _log.error("cannot accept: %s", error)
+                _log.error("cannot accept a connection: %s", error)
                 time.sleep(ACCEPT_POLL_S)
                 continue
             self._begin(sock)
 
     def _begin(self, sock: socket.socket) -> None:
-        """Serve one connection by a thread of its own, or close it: accepting goes on."""
+        """Serve one connection in a new thread, or close it, so that accepting continues."""
         if not self._slots.acquire(blocking=False):
-            _log.warning("closed a stream, there are %d", MAX_STREAMS)
+            _log.warning("closed a new stream: limit of %d open streams reached", MAX_STREAMS)
             sock.close()
             return
         thread = threading.Thread(target=self._serve, args=(sock,), name="stream", daemon=True)
         try:
             thread.start()
-        except RuntimeError as error:  # the machine has no thread left
+        except RuntimeError as error:  # out of threads
             self._slots.release()
-            _log.warning("closed a stream: %s", error)
+            _log.warning("closed a new stream: cannot start a thread: %s", error)
             sock.close()
 
     def _serve(self, sock: socket.socket) -> None:
         try:
             stream = Stream.accept(sock, self._settings.keys, self._sidecar.hello())
         except StreamError as error:
-            _log.debug("peer refused: %s", error)
+            _log.debug("handshake with a peer failed: %s", error)
             self._slots.release()
             return
         try:
--- a/roadpass/transport.py
+++ b/roadpass/transport.py
@@ -1,4 +1,4 @@
-"""One attempt's way from an ingress to the sidecar of its target, and what became of it."""
+"""Carries attempts from an ingress to the sidecar of their target and determines the outcome."""
 
 import logging
 import threading
@@ -18,71 +18,72 @@
 from roadpass.peer import Address, PeerPool
 from roadpass.request import CallerWatch
 from roadpass.sidecar import Sidecar
-from roadpass.stream import CallerGoneError, Stream
+from roadpass.stream import CallerDisconnectedError, Stream
 from roadpass.view import View
 
 FENCE_S = 0.1
-"""Seconds kept at the end of a request's deadline to fence an attempt without an answer."""
+"""Seconds reserved before a request's deadline to fence an attempt that got no reply."""
 REPLY_GRACE_S = 0.02
-"""Seconds that the sidecar's answer at its own deadline is awaited longer."""
-REPLY_REST_S = 0.3
-"""Seconds from its first byte to its last that a reply may take although its time is over: a ready
-answer is delivered, and its route's time is passed by less than half a second."""
-RECALL_S = 0.25
-"""Seconds to a word on attempts that are asked back: busy nodes take some ten times 3 ms."""
+"""Extra seconds to wait for a reply that the sidecar sends at its own deadline."""
+REPLY_READ_GRACE_S = 0.3
+"""Seconds that a reply may take from its first byte to its last after the timeout has passed. A
+finished answer is still delivered, and the route's timeout is exceeded by less than 0.5 s."""
+RECALL_TIMEOUT_S = 0.25
+"""Timeout of a recall request: it takes 3 ms, and about ten times as long on busy nodes."""
 CONNECT_TIMEOUT_S = 0.12
-"""Seconds to connect: many times what it takes within a region, and far less than the second that
-a lost first packet costs, in which another target can be asked."""
-CHECK_S = 0.09
-"""Seconds to a word: many times the way there and back within a region, so silence for longer tells
-of a cut or a loss."""
-PRESSING_S = 0.6
-"""Seconds to a connection or a word where no other target is left: two losses are mended then."""
+"""Connect timeout: many times the connect time within a region, but far below the 1 s until a lost
+SYN is retransmitted, so that another target can be tried instead."""
+CHECK_TIMEOUT_S = 0.09
+"""Timeout of an admission check: many times the round trip within a region, so a longer delay means
+a network partition or a lost packet."""
+LAST_RESORT_TIMEOUT_S = 0.6
+"""Timeout for connecting and for the admission check when no other target is left. It allows for
+recovery from two lost packets."""
 
 _log = logging.getLogger("roadpass.transport")
 
 
 class _Refusal(NamedTuple):
-    """Why there is no stream for an attempt.
+    """Why no stream could be opened for an attempt.
 
     Args:
-        reply: What the ingress is told.
-        carried: Bytes that asking took.
-        silent: Whether a stream was there, and no word came over it.
+        reply: Reply to return to the ingress.
+        byte_count: Bytes transferred by the admission check.
+        no_reply: Whether the connection was established but the check got no reply.
     """
 
     reply: Reply
-    carried: int = 0
-    silent: bool = False
+    byte_count: int = 0
+    no_reply: bool = False
 
 
 @dataclass(slots=True)
-class _Waiting:
-    """An attempt whose reply is awaited.
+class _PendingAttempt:
+    """An attempt whose reply is still outstanding.
 
     Args:
-        stream: On which.
-        is_spoken_for: Whether its sidecar has said a word when it was asked back.
-        never_starts: Whether that was the promise that it never starts.
-        is_given_up: Whether the stream was ended under the wait.
-        is_kept: Whether its sidecar has said that it runs, and has all its time.
+        stream: Stream that will carry the reply.
+        recall_answered: Whether the sidecar has answered a recall of the attempt.
+        never_starts: Whether that answer guarantees that the attempt never starts.
+        is_abandoned: Whether the stream was shut down while the reply was outstanding.
+        is_extended: Whether the sidecar has confirmed that the attempt runs until its deadline.
     """
 
     stream: Stream
-    is_spoken_for: bool = False
+    recall_answered: bool = False
     never_starts: bool = False
-    is_given_up: bool = False
-    is_kept: bool = False
+    is_abandoned: bool = False
+    is_extended: bool = False
 
 
 class Transport:
-    """Carries attempts; used by the threads of all callers at once.
+    """Sends attempts to sidecars; shared by the threads of all callers.
 
     Args:
-        view: Where the nodes are.
-        sidecar: This VM's own.
+        view: Addresses of the nodes.
+        sidecar: The sidecar of this VM, which is called directly.
         peers: Streams to the other sidecars.
-        metrics: Counts bytes to and from other data halls, `None` for not at all.
+        metrics: Counts traffic to and from other data halls; `None` to discard the counts.
     """
 
     def __init__(
@@ -92,16 +93,16 @@
         self._view = view
         self._sidecar = sidecar
         self._peers = peers
-        self._waiting: dict[str, _Waiting] = {}
+        self._pending_attempts: dict[str, _PendingAttempt] = {}
         self._lock = threading.Lock()
 
     def send(self, target: Target, attempt: Attempt, watch: CallerWatch | None) -> Reply:
-        """See one attempt to its end; whatever fails, the reply says what is known.
+        """Send one attempt and return its outcome; failures are reported in the reply, not raised.
 
         Args:
-            target: Where it goes.
-            attempt: What is sent.
-            watch: Tells when the caller has left.
+            target: Target that runs the attempt.
+            attempt: The attempt to send.
+            watch: Reports when the caller has disconnected.
         """
         if target.vm == self._view.vm:
             return self._sidecar.run(attempt, watch=watch)
@@ -111,115 +112,120 @@
         started = clock.now()
         far = self._view.tier(target) > 0
         opened = self._open(address, attempt)
-        self._count("question", opened.carried, far=far)
+        self._count("question", opened.byte_count, far=far)
         if isinstance(opened, _Refusal):
             return opened.reply
-        if clock.now() >= self._view.ending.last_start(attempt.usual_ms):  # the word took long
+        if clock.now() >= self._view.ending.last_start(attempt.usual_ms):  # the check was slow
             self._peers.release(address, opened)
             return Reply(NotRun(Reason.LEAVING, RETRY_SOON_MS))
-        asked = opened.carried
+        check_bytes = opened.byte_count
         spent_ms = (clock.now() - started) * 1000.0
         attempt = attempt._replace(remaining_ms=attempt.remaining_ms - spent_ms)
         reply = self._exchange(opened, address, attempt, watch)
-        self._count("attempt", opened.carried - asked, far=far)
+        self._count("attempt", opened.byte_count - check_bytes, far=far)
         return reply
 
-    def _count(self, kind: str, carried: int, *, far: bool) -> None:
-        """Count what a message of a kind carried to another data hall and back."""
+    def _count(self, kind: str, byte_count: int, *, far: bool) -> None:
+        """Count a message and its bytes in both directions if it went to another data hall."""
         if far:
             self._metrics.count(f"far_{kind}s")
-            self._metrics.count(f"far_{kind}_bytes", carried)
+            self._metrics.count(f"far_{kind}_bytes", byte_count)
 
     def keep(self, vm: str, deadlines: Mapping[str, float]) -> None:
-        """Have attempts that run at a VM take until a moment each, in clock seconds."""
+        """Let attempts that run at a VM continue until their deadlines, in clock seconds."""
         if vm == self._view.vm:
             self._sidecar.keep(deadlines)
             return
-        asked: dict[str, float] = {}
+        extended: dict[str, float] = {}
         with self._lock:
             for attempt_id, until in deadlines.items():
-                waiting = self._waiting.get(attempt_id)
-                if waiting is not None and not waiting.is_kept:
-                    waiting.stream.kept_until = until + REPLY_GRACE_S
-                    asked[attempt_id] = until
+                pending = self._pending_attempts.get(attempt_id)
+                if pending is not None and not pending.is_extended:
+                    pending.stream.extended_deadline = until + REPLY_GRACE_S
+                    extended[attempt_id] = until
         address = self._address(vm)
-        if address is not None and asked:
-            self._in_thread(self._keep, address, asked)
+        if address is not None and extended:
+            self._in_thread(self._keep, address, extended)
 
-    def _keep(self, address: Address, asked: Mapping[str, float]) -> None:
+    def _keep(self, address: Address, extended: Mapping[str, float]) -> None:
         now = clock.now()
-        left_ms = [(until - now) * 1000.0 for until in asked.values()]
-        message: Keep = {"t": "keep", "ids": list(asked), "left_ms": left_ms}
+        left_ms = [(until - now) * 1000.0 for until in extended.values()]
+        message: Keep = {"t": "keep", "ids": list(extended), "left_ms": left_ms}
         try:
-            word = self._peers.exchange(address, message, timeout_s=RECALL_S)
+            response = self._peers.exchange(address, message, timeout_s=RECALL_TIMEOUT_S)
         except StreamError as error:
-            _log.info("nobody at %s keeps %d attempts: %s", address, len(asked), error)
+            _log.info("peer %s did not extend %d attempts: %s", address, len(extended), error)
             return
-        for attempt_id in word.get("ids", ()):
-            waiting = self._waiting.get(attempt_id)
-            if waiting is not None:
-                waiting.is_kept = True
+        for attempt_id in response.get("ids", ()):
+            pending = self._pending_attempts.get(attempt_id)
+            if pending is not None:
+                pending.is_extended = True
 
     @staticmethod
-    def _in_thread(action: Callable[..., None], address: Address, asked: object) -> None:
-        """Ask a peer something in a thread of its own."""
-        thread = threading.Thread(target=action, args=(address, asked), daemon=True)
+    def _in_thread(action: Callable[..., None], address: Address, argument: object) -> None:
+        """Call a function that queries a peer in a new thread."""
+        thread = threading.Thread(target=action, args=(address, argument), daemon=True)
         try:
             thread.start()
-        except RuntimeError as error:  # the machine has no thread left; it is asked again
-            _log.warning("%s is not asked about attempts: %s", address, error)
+        except RuntimeError as error:  # out of threads; the query is repeated later
+            _log.warning("no thread to query peer %s about attempts: %s", address, error)
 
     def recall(self, vm: str, attempt_ids: list[str]) -> None:
-        """Ask a VM's sidecar not to start attempts; what is waited for in vain is given up.
+        """Ask a VM's sidecar not to start attempts, and stop waiting for those that will not run.
 
-        The word on an attempt that never starts is proof, whatever becomes of its own reply. Of one
-        that has started the reply is awaited to the end; where nothing was heard in time, its
-        caller is told that it may have run.
+        A reply that an attempt never starts is proof, regardless of the attempt's own reply. For an
+        attempt that has started, the reply is awaited until the end. Without an answer to the
+        recall in time, the caller is told that the attempt may have run.
         """
-        unheard = [name for name in attempt_ids if self._is_unheard(name)]
+        unanswered = [name for name in attempt_ids if self._awaits_recall(name)]
         if clock.now() >= self._view.ending.asks_until:
-            self._give_up(unheard)
+            self._abandon(unanswered)
         address = self._address(vm)
-        if address is None or not unheard:
+        if address is None or not unanswered:
             return
-        self._in_thread(self._recall, address, unheard)
+        self._in_thread(self._recall, address, unanswered)
 
-    def _is_unheard(self, attempt_id: str) -> bool:
-        waiting = self._waiting.get(attempt_id)
-        return waiting is None or not waiting.is_spoken_for
+    def _awaits_recall(self, attempt_id: str) -> bool:
+        pending = self._pending_attempts.get(attempt_id)
+        return pending is None or not pending.recall_answered
 
-    def _give_up(self, attempt_ids: list[str]) -> None:
-        """End the wait for the replies to attempts."""
+    def _abandon(self, attempt_ids: list[str]) -> None:
+        """Stop waiting for the replies to attempts by shutting down their streams."""
         with self._lock:
             for attempt_id in attempt_ids:
-                waiting = self._waiting.get(attempt_id)
-                if waiting is not None:
-                    waiting.is_given_up = True
-                    waiting.stream.shutdown()
+                pending = self._pending_attempts.get(attempt_id)
+                if pending is not None:
+                    pending.is_abandoned = True
+                    pending.stream.shutdown()
 
     def _recall(self, address: Address, asked: list[str]) -> None:
         message: Recall = {"t": "recall", "ids": asked}
         try:
-            word = self._peers.exchange(address, message, timeout_s=RECALL_S)
+            response = self._peers.exchange(address, message, timeout_s=RECALL_TIMEOUT_S)
         except StreamError as error:
-            _log.info("nobody at %s takes %d attempts back: %s", address, len(asked), error)
+            _log.info("peer %s did not recall %d attempts: %s", address, len(asked), error)
             return
-        never_start = [name for name in word.get("ids", ()) if self._vouches(word, name)]
+        never_start = [
+            name for name in response.get("ids", ()) if self._is_same_process(response, name)
+        ]
         decided("transport", "recalled", asked=len(asked), never_start=len(never_start))
         for attempt_id in asked:
-            waiting = self._waiting.get(attempt_id)
-            if waiting is not None and self._vouches(word, attempt_id):
-                waiting.never_starts = attempt_id in never_start
-                waiting.is_spoken_for = True
-        self._give_up(never_start)
+            pending = self._pending_attempts.get(attempt_id)
+            if pending is not None and self._is_same_process(response, attempt_id):
+                pending.never_starts = attempt_id in never_start
+                pending.recall_answered = True
+        self._abandon(never_start)
 
-    def _vouches(self, word: Message, attempt_id: str) -> bool:
-        """Tell whether a word is that of the process that was given an attempt."""
-        waiting = self._waiting.get(attempt_id)
-        return waiting is None or waiting.stream.peer_incarnation == word.get("incarnation")
+    def _is_same_process(self, response: Message, attempt_id: str) -> bool:
+        """Return whether a response comes from the process that received the attempt."""
+        pending = self._pending_attempts.get(attempt_id)
+        return pending is None or pending.stream.peer_incarnation == response.get("incarnation")
 
     def fence_key(self, vm: str, key: str, token: str, timeout_s: float) -> Verdict:
-        """Have a VM's sidecar promise that only the attempt `token` may start with a key."""
+        """Ask a VM's sidecar to guarantee that only the attempt `token` may start with a key.
+
+        A peer that does not answer counts as `CANNOT_VOUCH`.
+        """
         if vm == self._view.vm:
             return self._sidecar.fence_key(key, token)
         address = self._address(vm)
@@ -227,82 +233,83 @@
             return Verdict.CANNOT_VOUCH
         message: FenceKey = {"t": "fence_key", "key": key, "id": token}
         try:
-            word = self._peers.exchange(address, message, timeout_s=timeout_s)
-            return Verdict(word.get("verdict", Verdict.CANNOT_VOUCH))
+            response = self._peers.exchange(address, message, timeout_s=timeout_s)
+            return Verdict(response.get("verdict", Verdict.CANNOT_VOUCH))
         except (StreamError, ValueError):
             return Verdict.CANNOT_VOUCH
 
     def _open(self, address: Address, attempt: Attempt) -> "Stream | _Refusal":
-        """Return a stream on which the sidecar has just agreed, or why there is none.
+        """Return a stream on which the sidecar has just accepted the attempt, or a refusal.
 
-        Until here nothing of the attempt was sent: a way that is cut, be it in one direction,
-        costs a moment, and the request is free to go elsewhere. A connection may fall silent for
-        good while new ones work: silence on one that was used before proves no cut.
+        Nothing of the attempt has been sent yet: a broken path, even in one direction only, costs
+        one short timeout, and the request can still go to another target. A connection may hang
+        for good while new ones work, so a timeout on a reused connection proves no partition:
+        the check is repeated on a new one.
         """
         opened, reused = self._try_open(address, attempt)
-        if not (reused and isinstance(opened, _Refusal) and opened.silent):
+        if not (reused and isinstance(opened, _Refusal) and opened.no_reply):
             return opened
         self._peers.drop(address)
         return self._try_open(address, attempt)[0]
 
     def _try_open(self, address: Address, attempt: Attempt) -> "tuple[Stream | _Refusal, bool]":
-        """Open one stream, and tell whether it was used before."""
+        """Open a stream and run the admission check; also return whether the stream was reused."""
         left_s = min(
             attempt.remaining_ms / 1000.0, self._view.ending.asks_until - clock.now()
-        )  # a peer that is silent must not hold the request until this node has ended
-        connect_s = min(PRESSING_S if attempt.pressing else CONNECT_TIMEOUT_S, left_s)
-        check_s = min(PRESSING_S if attempt.pressing else CHECK_S, left_s)
+        )  # an unresponsive peer must not hold the request until this node has shut down
+        connect_s = min(LAST_RESORT_TIMEOUT_S if attempt.pressing else CONNECT_TIMEOUT_S, left_s)
+        check_s = min(LAST_RESORT_TIMEOUT_S if attempt.pressing else CHECK_TIMEOUT_S, left_s)
         try:
             stream = self._peers.acquire(address, timeout_s=connect_s)
         except ConnectError:
             return _Refusal(Reply(NotRun(Reason.UNREACHABLE, RETRY_SOON_MS))), False
         reused = stream.idle_since > 0.0
-        stream.carried = 0
+        stream.byte_count = 0
         try:
             stream.send(AdmissionCheck.of(attempt).to_message(), timeout_s=check_s)
-            word = stream.receive(check_s).message
-            if word["t"] == "accepted":
+            response = stream.receive(check_s).message
+            if response["t"] == "accepted":
                 return stream, reused
-            refusal = Reply.from_message(word)
+            refusal = Reply.from_message(response)
         except StreamError:
             stream.close()
             unreachable = Reply(NotRun(Reason.UNREACHABLE, RETRY_SOON_MS))
-            return _Refusal(unreachable, stream.carried, silent=True), reused
+            return _Refusal(unreachable, stream.byte_count, no_reply=True), reused
         self._peers.release(address, stream)
-        return _Refusal(refusal, stream.carried), reused
+        return _Refusal(refusal, stream.byte_count), reused
 
     def _exchange(
         self, stream: Stream, address: Address, attempt: Attempt, watch: CallerWatch | None
     ) -> Reply:
         wait_s = attempt.remaining_ms / 1000.0 + REPLY_GRACE_S
         until = clock.now() + wait_s
-        waiting = self._waiting[attempt.id] = _Waiting(stream)
+        pending = self._pending_attempts[attempt.id] = _PendingAttempt(stream)
         try:
             stream.send(attempt.to_message(), timeout_s=wait_s)
             left_s = max(0.0, until - clock.now())
-            received = stream.receive(left_s, caller=watch, frame_timeout_s=REPLY_REST_S)
+            received = stream.receive(left_s, caller=watch, frame_timeout_s=REPLY_READ_GRACE_S)
             reply = Reply.from_message(received.message)
         except StreamError as error:
             stream.close()
-            if waiting.never_starts:
+            if pending.never_starts:
                 return Reply(NotRun(Reason.LEAVING, RETRY_SOON_MS))
-            return Reply(self._after_loss(address, attempt, stream.peer_incarnation, error))
+            return Reply(self._outcome_after_loss(address, attempt, stream.peer_incarnation, error))
         finally:
-            with self._lock:  # from here on nobody ends the stream, which may be lent again
-                del self._waiting[attempt.id]
-                stream.kept_until = 0.0
-        if waiting.is_given_up:
+            with self._lock:  # after this the stream is not shut down: the pool may reuse it
+                del self._pending_attempts[attempt.id]
+                stream.extended_deadline = 0.0
+        if pending.is_abandoned:
             stream.close()
         else:
             self._peers.release(address, stream)
         return reply
 
-    def _after_loss(
+    def _outcome_after_loss(
         self, address: Address, attempt: Attempt, incarnation: int, error: StreamError
     ) -> Outcome:
-        """Find out what became of an attempt without a reply: the sidecar's word or unknown."""
+        """Determine the outcome of an attempt without a reply by fencing it at its sidecar."""
         match error:
-            case CallerGoneError():
+            case CallerDisconnectedError():
                 reason = Reason.CANCELLED
             case ReplyTimeoutError():
                 reason = Reason.TIMEOUT
@@ -312,11 +319,11 @@
             return Unknown(reason)
         message: Fence = {"t": "fence", "id": attempt.id}
         try:
-            word = self._peers.exchange(address, message, timeout_s=FENCE_S)
+            response = self._peers.exchange(address, message, timeout_s=FENCE_S)
         except StreamError:
             return Unknown(reason)
-        vouched = word["t"] == "fenced" and word["verdict"] == Verdict.NEVER_STARTS.value
-        if vouched and word["incarnation"] == incarnation:
+        is_fenced = response["t"] == "fenced" and response["verdict"] == Verdict.NEVER_STARTS.value
+        if is_fenced and response["incarnation"] == incarnation:
             why = Reason.CANCELLED if reason is Reason.CANCELLED else Reason.FENCED
             return NotRun(why, RETRY_SOON_MS)
         return Unknown(reason)
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -1,4 +1,4 @@
-"""The gossip actor on real datagrams: malformed ones are counted, and it lives on."""
+"""The gossip actor with real UDP datagrams, including malformed ones."""
 
 import random
 import socket
@@ -26,7 +26,7 @@
 PORTS = Ports(8080, 8081, 8082, 8083)
 LIMIT_S = 10.0
 DATAGRAMS = 5
-"""Datagrams of which one must have what is new; about one a second comes."""
+"""Number of datagrams of which at least one must contain the update; about one a second is sent."""
 
 
 def start(
@@ -37,7 +37,7 @@
     address: str = ADDRESS,
     on_peer_position: Callable[[PeerPosition], None] | None = None,
 ) -> ActorRef[Gossip]:
-    """Start an actor that notes the nodes it hears of."""
+    """Start an actor that records the names of the nodes it learns about."""
     own = Member("vm-1", 1, MemberState.ALIVE, address, 8081, 8082, "hall", "region")
     config = Settings("vm-1", "hall", "region", address, address, PORTS, "http://127.0.0.1:1")
     events = Events(
@@ -53,7 +53,7 @@
 
 
 def eventually(condition: Callable[[], bool]) -> bool:
-    """Wait for a condition."""
+    """Return whether a condition becomes true within `LIMIT_S`."""
     deadline = clock.now() + LIMIT_S
     while clock.now() < deadline:
         if condition():
@@ -63,19 +63,19 @@
 
 
 def datagram(vm: str) -> bytes:
-    """Return a good datagram of a node that was not known."""
+    """Return a valid datagram from a node that is not known yet."""
     rumor = [vm, 1, 0, "127.0.41.2", 8081, 8082, "hall", "region"]
     message = {"t": "ping", "sender": vm, "n": 1, "revision": 0, "digest": "", "news": [rumor]}
     return pack(check_gossip(message))
 
 
-def test_malformed_datagrams_are_counted_and_the_actor_lives_on() -> None:
-    """Noise, wrong types, absurd values; then a good one is understood."""
+def test_malformed_datagrams_are_counted_and_do_not_end_the_actor() -> None:
+    """Random bytes, wrong types and invalid values are dropped; a valid datagram is handled."""
     metrics = Metrics()
     nodes: list[str] = []
     ref = start(metrics, nodes)
     ref.tell(Begin())
-    ref.proxy().agreeing_peers.get()  # answered once the socket is bound and read
+    ref.proxy().agreeing_peers.get()  # returns once the socket is bound and read
     good = unpack(datagram("vm-2"))
     bad = [
         b"",
@@ -98,21 +98,21 @@
     ref.stop()
 
 
-def test_ends_under_requests_are_told_and_heard() -> None:
-    """At once, in every datagram; what is heard is counted with what was seen here."""
+def test_crashes_during_requests_are_sent_and_received() -> None:
+    """A crash is sent at once; received crashes are counted together with local ones."""
     quarantine = Quarantine()
     ref = start(Metrics(), [], quarantine=quarantine, address="127.0.41.3")
     quarantine.on_news = lambda: ref.tell(CrashUpdate())
     ref.tell(Begin())
-    ref.proxy().agreeing_peers.get()  # answered once the socket is bound and read
+    ref.proxy().agreeing_peers.get()  # returns once the socket is bound and read
     peer = Member("vm-9", 1, MemberState.ALIVE, "127.0.41.9", 8081, 8082, "hall", "region")
     ref.tell(Seed((peer,), frozenset()))
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
         sock.bind((peer.address, peer.gossip_port))
         sock.settimeout(LIMIT_S)
         quarantine.note_end(clock.now(), "work", "target-1/1")
-        told = (unpack(sock.recv(2048)).get("crashes", []) for _ in range(DATAGRAMS))
-        assert next(filter(None, told), [[None]])[0][0] == "work"
+        received = (unpack(sock.recv(2048)).get("crashes", []) for _ in range(DATAGRAMS))
+        assert next(filter(None, received), [[None]])[0][0] == "work"
         for number in (2, 3):
             row = ["work", -1.0, [[f"target-{number}/1", 0.5]]]
             content = pack({**unpack(datagram("vm-9")), "crashes": [row]})
@@ -121,12 +121,12 @@
     ref.stop()
 
 
-def test_the_position_of_the_source_is_told_and_heard_with_its_era() -> None:
-    """Nodes of earlier releases send none, which is the first."""
+def test_the_source_position_is_sent_and_received_with_its_era() -> None:
+    """Nodes of earlier releases send no era, which means era 0."""
     heard: list[PeerPosition] = []
     ref = start(Metrics(), [], address="127.0.41.4", on_peer_position=heard.append)
     ref.tell(Begin())
-    ref.proxy().agreeing_peers.get()  # answered once the socket is bound and read
+    ref.proxy().agreeing_peers.get()  # returns once the socket is bound and read
     peer = Member("vm-9", 1, MemberState.ALIVE, "127.0.41.10", 8081, 8082, "hall", "region")
     ref.tell(Seed((peer,), frozenset()))
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
@@ -134,8 +134,8 @@
         sock.settimeout(LIMIT_S)
         for position in (Position(0, 7), Position(2, 5)):
             ref.tell(Confirmed(position, clock.now(), tell=True))
-            told = (unpack(sock.recv(2048)) for _ in range(DATAGRAMS))
-            assert any(Position.from_message(message) == position for message in told)
+            received = (unpack(sock.recv(2048)) for _ in range(DATAGRAMS))
+            assert any(Position.from_message(message) == position for message in received)
         for fields in ({"revision": 9}, {"revision": 4, "era": 3}):
             content = pack({**unpack(datagram("vm-9")), "platform_age_s": 0.1, **fields})
             sock.sendto(content, ("127.0.41.4", PORTS.gossip))
@@ -146,8 +146,8 @@
 
 @settings(max_examples=30)
 @given(st.binary(max_size=100), st.integers(0, 100))
-def test_spoilt_datagrams_never_raise_anything_but_their_own_error(noise: bytes, at: int) -> None:
-    """A good datagram with bytes overwritten; handled as the actor does, without its thread."""
+def test_corrupted_datagrams_raise_no_unexpected_error(noise: bytes, at: int) -> None:
+    """A valid datagram with bytes overwritten, handled by the actor's method without its thread."""
     whole = bytearray(datagram("vm-2"))
     whole[at : at + len(noise)] = noise
     metrics = Metrics()
@@ -156,6 +156,6 @@
         "vm-1", "hall", "region", ADDRESS, ADDRESS, PORTS, "http://127.0.0.1:1"
     )
     actor._metrics = metrics
-    actor._take = lambda message: None  # type: ignore[method-assign]
+    actor._process_datagram = lambda message: None  # type: ignore[method-assign]
     actor._on_datagram(bytes(whole))
     assert metrics.get("gossip_dropped") <= 1
--- a/tests/test_introduction.py
+++ b/tests/test_introduction.py
@@ -1,4 +1,4 @@
-"""The members that a node names to its gossip unheard."""
+"""Member records built from settings, platform lists and store targets."""
 
 from roadpass.introduction import listed_members, members_from_targets, own_member
 from roadpass.manifest import VmEntry
@@ -12,19 +12,19 @@
 
 
 def entry(instance: str, ip: str, hall: str) -> TargetEntry:
-    """Return a target's entry."""
+    """Return a target entry with the given instance, IP address and data hall."""
     return TargetEntry(instance, "a", f"{ip}:80", hall, 4, False)
 
 
-def test_the_node_itself() -> None:
-    """It is reached where it advertises itself."""
+def test_own_member_record() -> None:
+    """Its address is the advertised one."""
     settings = SETTINGS._replace(vm="vm-1", advertise="10.9.9.9")
     own = Member("vm-1", 7, ALIVE, "10.9.9.9", 8081, 8082, "hall-1", "region")
     assert own_member(settings, 7) == own
 
 
-def test_nodes_that_the_platform_lists() -> None:
-    """All are named as the list has them, also those that leave."""
+def test_members_listed_by_the_platform() -> None:
+    """All listed nodes are returned, including those that are leaving."""
     entries = [VmEntry(f"vm-{n}", f"10.0.0.{n}", 81, 82, "hall", "far", n == 2) for n in (1, 2)]
     assert listed_members(entries) == (
         Member("vm-1", 0, ALIVE, "10.0.0.1", 81, 82, "hall", "far"),
@@ -32,8 +32,8 @@
     )
 
 
-def test_nodes_beside_a_stores_targets() -> None:
-    """One for each IP number but the own; ports and region are the own ones."""
+def test_members_from_store_targets() -> None:
+    """One for each IP address except this node's; ports and region are those of this node."""
     entries = [
         entry("t1", "10.0.0.1", "hall-1"),
         entry("t2", "10.0.0.2", "hall-2"),
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership over a fake network that loses, delays, duplicates, reorders and cuts."""
+"""Membership over a fake network with loss, delay, duplication, reordering and partitions."""
 
 import random
 from collections.abc import Callable
@@ -15,12 +15,12 @@
 
 
 class FakeNetwork:
-    """Delivers datagrams among nodes in virtual time, with faults.
+    """Delivers datagrams between nodes in virtual time, with faults.
 
     Args:
-        count: Nodes; the first ones seed the others.
-        seed: Of all randomness.
-        loss: Share of datagrams lost; as many are duplicated.
+        count: Number of nodes; the first two seed the others.
+        seed: Seed of all random numbers.
+        loss: Share of datagrams that are lost; the same share is duplicated.
     """
 
     def __init__(self, count: int, seed: int, loss: float = 0.0) -> None:
@@ -35,18 +35,18 @@
             self.start(f"n{number}", 1)
 
     def start(self, vm: str, incarnation: int) -> None:
-        """Start a node's process, possibly anew."""
+        """Start or restart a node's process."""
         own = _member(vm, incarnation)
         self.nodes[vm] = Members(own, random.Random(self.rng.random()))
         self.nodes[vm].seed(self.now, [_member("n0", 0), _member("n1", 0)])
 
     def join(self, vm: str, incarnation: int, by: str) -> None:
-        """Start a node's process that knows nobody but the address of one node, and asks it."""
+        """Start a node's process that knows only the address of one node, and send that a sync."""
         self.nodes[vm] = Members(_member(vm, incarnation), random.Random(self.rng.random()))
         self._post(vm, [Send((by, PORT), "sync", 0)])
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
+        """Advance virtual time."""
         for _ in range(int(seconds / TICK_S)):
             self.now += TICK_S
             for vm, node in self.nodes.items():
@@ -59,12 +59,12 @@
                 self._deliver(source, to, send, news)
 
     def states(self, of: str) -> set[MemberState]:
-        """Return what the other live nodes believe of one."""
+        """Return the states that the other nodes record for one node."""
         believed = (node.get(of) for vm, node in self.nodes.items() if vm != of)
         return {member.state for member in believed if member is not None}
 
     def eventually(self, condition: Callable[[], bool], seconds: float) -> bool:
-        """Let time pass until a condition holds."""
+        """Advance virtual time until a condition holds, and return whether it does."""
         for _ in range(int(seconds)):
             if condition():
                 return True
@@ -97,7 +97,7 @@
 
 
 def all_alive(network: FakeNetwork) -> bool:
-    """Tell whether every node knows every other as alive."""
+    """Return whether every node has every other recorded as alive."""
     count = len(network.nodes)
     return all(
         node.size == count and all(m.state is MemberState.ALIVE for m in node.all())
@@ -107,8 +107,8 @@
 
 @settings(max_examples=10, deadline=None)
 @given(st.integers(0, 2**16))
-def test_nodes_find_each_other_and_nobody_stays_declared_dead(seed: int) -> None:
-    """A tenth of datagrams lost and duplicated, all delayed and reordered."""
+def test_all_nodes_become_alive_despite_lost_datagrams(seed: int) -> None:
+    """10 % of datagrams are lost and 10 % duplicated; all are delayed and reordered."""
     network = FakeNetwork(8, seed, loss=0.1)
     network.run(30.0)
     network.loss = 0.0
@@ -117,8 +117,8 @@
 
 @settings(max_examples=10, deadline=None)
 @given(st.integers(0, 2**16))
-def test_dead_node_is_noticed_and_its_restart_too(seed: int) -> None:
-    """A killed node is dead everywhere; its next process is alive everywhere."""
+def test_death_and_restart_of_a_node_are_detected(seed: int) -> None:
+    """A killed node becomes dead on all nodes; its next process becomes alive on all nodes."""
     network = FakeNetwork(8, seed)
     network.run(15.0)
     del network.nodes["n5"]
@@ -129,8 +129,8 @@
 
 @settings(max_examples=10, deadline=None)
 @given(st.integers(0, 2**16))
-def test_a_node_that_starts_anew_soon_knows_every_other(seed: int) -> None:
-    """Whoever it asks tells it of all, those of other data halls too: nobody else would soon."""
+def test_a_restarted_node_learns_all_members_within_seconds(seed: int) -> None:
+    """A sync reply contains all members: gossip rarely spreads those of other data halls."""
     network = FakeNetwork(9, seed)
     assert network.eventually(lambda: all_alive(network), 120.0)
     network.run(30.0)
@@ -143,8 +143,8 @@
 
 @settings(max_examples=10, deadline=None)
 @given(st.integers(0, 2**16))
-def test_one_way_cut_is_a_path_not_a_death(seed: int) -> None:
-    """Two nodes that hear each other one way only are vouched for by the others."""
+def test_a_one_way_partition_makes_no_node_dead(seed: int) -> None:
+    """If datagrams pass in one direction only, indirect probes keep both nodes alive."""
     network = FakeNetwork(8, seed)
     network.run(15.0)
     network.cuts = {("n3", "n4")}
@@ -155,8 +155,8 @@
 
 @settings(max_examples=5, deadline=None)
 @given(st.integers(0, 2**16))
-def test_split_parts_merge(seed: int) -> None:
-    """Both parts declare each other dead, serve on, and find each other again."""
+def test_partitions_merge(seed: int) -> None:
+    """Both sides declare each other dead, continue, and merge once the partition ends."""
     network = FakeNetwork(8, seed)
     network.run(15.0)
     part = {"n0", "n2", "n4", "n6"}
@@ -168,8 +168,8 @@
     assert network.eventually(lambda: all_alive(network), 120.0)
 
 
-def test_paused_node_judges_nobody_by_its_own_pause() -> None:
-    """A process that wakes late does not suspect those whose answers it slept through."""
+def test_a_paused_node_declares_no_member_dead() -> None:
+    """A process that resumes does not blame members for replies it missed while paused."""
     network = FakeNetwork(6, 1)
     network.run(15.0)
     network.frozen = {"n2"}
@@ -182,8 +182,8 @@
     assert network.eventually(lambda: all_alive(network), 60.0)
 
 
-def test_leaving_is_said_by_the_one_who_leaves() -> None:
-    """It is not taken back by old news, and ends in dead once the process is gone."""
+def test_leaving_state_lasts_until_the_node_is_dead() -> None:
+    """Older rumors do not override it; the node becomes dead once its process has ended."""
     network = FakeNetwork(6, 2)
     network.run(15.0)
     network.nodes["n4"].leave()
--- a/tests/test_packing.py
+++ b/tests/test_packing.py
@@ -1,4 +1,4 @@
-"""The packed form: short for what nodes say often, whole or an error for all else."""
+"""Packing: frequent messages are short, and any other data round-trips or raises an error."""
 
 import msgpack
 import pytest
@@ -35,30 +35,32 @@
 
 
 @given(values)
-def test_what_was_packed_comes_out(value: object) -> None:
-    """Whatever it is."""
+def test_round_trip(value: object) -> None:
+    """Any value that msgpack supports is restored."""
     assert unpack(pack(value)) == value
 
 
 @given(st.binary(max_size=200))
-def test_noise_is_an_error_or_a_value(data: bytes) -> None:
-    """Never another error than that of the layer."""
+def test_random_bytes_raise_only_frame_errors(data: bytes) -> None:
+    """No other exception escapes from unpacking."""
     try:
         unpack(data)
     except FrameError:
         return
 
 
-def test_a_part_or_more_than_a_message_is_an_error() -> None:
-    """Both would otherwise pass for another message."""
+def test_truncated_or_extended_data_is_an_error() -> None:
+    """Either could otherwise be taken for a different message."""
     packed = pack({"t": "hello"})
     for data in (packed[:-1], packed + b"x", packed + packed, b""):
         with pytest.raises(FrameError):
             unpack(data)
 
 
-def test_a_message_that_unpacks_to_too_much_is_an_error(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A few bytes must not take a node's memory."""
+def test_a_message_that_unpacks_to_too_many_bytes_is_an_error(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """A few packed bytes must not exhaust a node's memory."""
     packed = pack(b"\0" * 100_000)
     assert len(packed) < 1000
     monkeypatch.setattr("roadpass.packing.MAX_BYTES", 50_000)
@@ -66,11 +68,11 @@
         unpack(packed)
 
 
-def test_usual_messages_are_short() -> None:
-    """An attempt far shorter than as plain msgpack; a question fits in a fixed number of bytes.
+def test_frequent_messages_are_short() -> None:
+    """An attempt is far shorter than plain msgpack; an admission check fits into a fixed size.
 
-    What a question leaves out as usual is no part of its plain form either, so its share of that
-    says nothing; with all of its fields written it took 85 bytes.
+    An admission check omits default values also in its plain form, so a ratio of the two sizes says
+    nothing. With all fields written it took 85 bytes.
     """
     attempt = ATTEMPT.to_message()
     assert len(pack(attempt)) < 0.6 * len(msgpack.packb(attempt))
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -1,4 +1,4 @@
-"""Streams between nodes: ages, keys, malformed frames."""
+"""Streams between nodes: frame ages, keys, time-outs and malformed frames."""
 
 import socket
 import struct
@@ -44,8 +44,8 @@
     return client, server
 
 
-def test_age_of_a_frame_that_waited() -> None:
-    """A frame that lay unread while the reader was frozen shows its age."""
+def test_age_of_a_delayed_frame() -> None:
+    """A frame that stays unread while the reader is paused has an age."""
     client, server = pair()
     assert client.peer_incarnation == 7
     client.send(FENCE)
@@ -56,14 +56,14 @@
 
 
 def test_no_reply_in_time() -> None:
-    """The wait ends with its own error."""
+    """Waiting for a frame ends with `ReplyTimeoutError`."""
     client, _server = pair()
     with pytest.raises(ReplyTimeoutError):
         client.receive(0.05)
 
 
-def test_keys_rotate_and_strangers_are_refused() -> None:
-    """Either of two keys is accepted; none, or another one, is not."""
+def test_key_rotation_and_unknown_keys() -> None:
+    """Each of two configured keys is accepted; no key or an unknown one is refused."""
     client, server = pair((OTHER, KEY), (KEY, OTHER))
     client.send(FENCE)
     assert server.receive(1.0).message == FENCE
@@ -74,7 +74,7 @@
 
 @given(st.binary(max_size=300))
 def test_any_frame_is_a_message_or_a_stream_error(payload: bytes) -> None:
-    """Nothing else is ever raised, whatever comes."""
+    """No other exception is raised, whatever bytes arrive."""
     one, other = socket.socketpair()
     one.sendall(struct.pack(">I", len(payload)) + payload)
     one.close()
@@ -94,7 +94,7 @@
 
 @given(st.dictionaries(KEYS, VALUES | st.sampled_from(["fence", "hello", "answered", "ping"])))
 def test_any_map_is_a_message_or_a_frame_error(value: dict[str, object]) -> None:
-    """The checks of frames and datagrams raise their own error only."""
+    """The schema checks of frames and datagrams raise only `FrameError`."""
     for check in (message.check, message.check_gossip):
         try:
             check(msgpack.unpackb(msgpack.packb(value)))
@@ -102,8 +102,8 @@
             continue
 
 
-def test_too_long_a_frame_is_refused_before_it_is_read() -> None:
-    """The length alone is enough."""
+def test_a_frame_that_is_too_long_is_refused_before_it_is_read() -> None:
+    """The length in the header is enough to refuse it."""
     one, other = socket.socketpair()
     one.sendall(struct.pack(">I", 2**31))
     stream = Stream(other, (), client=False)
--- a/tests/test_stream_server.py
+++ b/tests/test_stream_server.py
@@ -1,4 +1,4 @@
-"""The server of peers' streams: it goes on accepting, whatever becomes of one connection."""
+"""The peer stream server: replies being written, and failures of single connections."""
 
 import random
 import threading
@@ -20,21 +20,22 @@
 ADDRESS = "127.0.44.1"
 HELLO: Message = {"t": "hello", "vm": "vm-2", "incarnation": 1}
 LARGE_BYTES = 12_000_000
-"""Of an answer that the buffers between two processes do not hold."""
+"""Size of a response that does not fit into the socket buffers between two processes."""
 
 
 class AnsweringSidecar(Sidecar):
-    """Gives each attempt a large answer that does not compress."""
+    """Replies to each message with a large, incompressible response."""
 
     def answer(self, message: Message, age_s: float) -> Message:
         load = LoadReport(0, 0, 1, 0.0, 0.0, 1.0, 1)
         return Reply(Answered(200, [], random.Random(1).randbytes(LARGE_BYTES)), load).to_message()
 
 
-def test_an_answer_on_its_way_to_a_peer_is_in_flight() -> None:
-    """A node that stops meanwhile waits for it: its target has run the request.
+def test_a_reply_being_written_to_a_peer_is_in_flight() -> None:
+    """A node that shuts down waits for the reply, because its target has run the request.
 
-    Its slot is free by then, so nothing else counts it; on a slow link it takes seconds.
+    The target's slot is free by then, so nothing else counts the request; on a slow link writing
+    the reply takes seconds.
     """
     settings = Settings("vm-1", "hall", "region", ADDRESS, ADDRESS, Ports(0, 7802, 0, 0), "")
     sidecar = AnsweringSidecar("vm-1", 7, PauseWatch(), pull=dict, behind=lambda *_: None)
@@ -54,13 +55,13 @@
         ref.stop()
 
 
-def test_a_thread_that_cannot_be_started_ends_no_accepting(
+def test_accepting_continues_if_a_thread_cannot_be_started(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """That one connection is closed; the next peer is served.
+    """Only that connection is closed; the next peer is served.
 
-    Seen on a machine whose threads were used up: the accept loop of a node ended with
-    `RuntimeError: can't start new thread`, and no peer could open a stream to it any more.
+    On a machine that had run out of threads, the accept loop of a node ended with `RuntimeError:
+    can't start new thread`, and no peer could open a stream to it any more.
     """
     settings = Settings("vm-1", "hall", "region", ADDRESS, ADDRESS, Ports(0, 7801, 0, 0), "")
     sidecar = Sidecar("vm-1", 7, PauseWatch(), pull=dict, behind=lambda vm, revision: None)
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -99,7 +99,7 @@
     Mechanism(
         "a node that starts is told of all members",
         "roadpass/membership.py",
-        "number, self._own.vm), *self._introduce(back)]",
+        "number, self._own.vm), *self._member_pages(back)]",
         "number, self._own.vm)]",
         "tests/test_membership.py",
     ),
@@ -120,8 +120,8 @@
     Mechanism(
         "unknown is not told as not-run",
         "roadpass/transport.py",
-        "            return Unknown(reason)\n        vouched",
-        "            return NotRun(reason)\n        vouched",
+        "            return Unknown(reason)\n        is_fenced",
+        "            return NotRun(reason)\n        is_fenced",
         "tests/test_dispatch.py",
     ),
     Mechanism(
@@ -157,8 +157,8 @@
     Mechanism(
         "a stream that was given up is closed",
         "roadpass/transport.py",
-        "            stream.close()\n            if waiting.never_starts:",
-        "            self._peers.release(address, stream)\n            if waiting.never_starts:",
+        "            stream.close()\n            if pending.never_starts:",
+        "            self._peers.release(address, stream)\n            if pending.never_starts:",
         "tests/test_dispatch.py",
     ),
     Mechanism(
@@ -220,14 +220,14 @@
     Mechanism(
         "a promise never to start is the word of the process that has the attempt",
         "roadpass/transport.py",
-        'or waiting.stream.peer_incarnation == word.get("incarnation")',
+        'or pending.stream.peer_incarnation == response.get("incarnation")',
         "or True",
         "tests/test_stop_order.py",
     ),
     Mechanism(
         "a silent peer is given up in time to tell the caller",
         "roadpass/transport.py",
-        "self._give_up(unheard)",
+        "self._abandon(unanswered)",
         "pass",
         "tests/test_stop_more.py",
     ),
@@ -338,8 +338,8 @@
     Mechanism(
         "only the process that got an attempt vouches for it",
         "roadpass/transport.py",
-        'if vouched and word["incarnation"] == incarnation:',
-        "if vouched:",
+        'if is_fenced and response["incarnation"] == incarnation:',
+        "if is_fenced:",
         MACHINE,
     ),
     Mechanism(
