--- a/roadpass/caller_connection.py
+++ b/roadpass/caller_connection.py
@@ -1,4 +1,4 @@
-"""One caller's connection: its requests are read one by one, dispatched, and answered in order."""
+"""A caller's connection: reads requests one at a time, dispatches them and responds in order."""
 
 import logging
 import socket
@@ -10,7 +10,7 @@
 from roadpass import clock
 from roadpass.access import Access
 from roadpass.active_count import ActiveCount
-from roadpass.caller_answer import outcome_bytes, outcome_headers, own_answer, text_of
+from roadpass.caller_answer import generated_response, outcome_bytes, outcome_headers, outcome_text
 from roadpass.caller_head import Head, RefusedError
 from roadpass.caller_limits import CallerLimits
 from roadpass.caller_watch import READ_BYTES, SocketWatch
@@ -31,15 +31,16 @@
 from roadpass.request import Request, Served
 
 BODY_MIN_S = 10.0
-"""Seconds that a body may take at least, so that a short header limit spares slow uploads."""
+"""Minimum timeout for a request body, so that a short header timeout does not cut slow uploads."""
 WRITE_LIMIT_S = 10.0
-"""Seconds to write one answer; a caller that does not read must not hold a thread for ever."""
+"""Timeout for writing a response; a caller that does not read must not block a thread for ever."""
 LINGER_S = 1.0
-"""Seconds to read on after the last answer; closing over unread bytes would reset it away."""
-IDLE_STEP_S = 0.4
-"""Seconds between looks at whether the node is leaving, while nothing comes on a connection."""
+"""Seconds to go on reading after the last response. Closing a socket with unread data sends a
+reset, which may discard the response before the caller reads it."""
+IDLE_POLL_S = 0.4
+"""Interval at which an idle connection checks whether the node is shutting down."""
 READ_MIN_S = 0.001
-"""Seconds a read waits at least; zero would mean not to wait at all and is an error here."""
+"""Minimum socket timeout; 0 would make the socket non-blocking, which is an error here."""
 
 _HTTP_VERSIONS = (b"1.0", b"1.1")
 
@@ -47,19 +48,19 @@
 
 
 class ConnectionContext(NamedTuple):
-    """What all connections of an ingress work with.
+    """Dependencies and settings shared by all connections of an ingress.
 
     Args:
-        dispatch: Sees a request to its outcome.
-        limits: Returns the limits in force.
-        leaving: Returns whether connections should end.
+        dispatch: Processes a request and returns its outcome.
+        limits: Returns the limits currently in force.
+        leaving: Returns whether connections should be closed because the node is leaving.
         metrics: Counts outcomes.
-        active: Counts requests that are being answered.
-        ending: When this process ends.
-        dialect: Header names towards callers.
-        caller_header: Header that names the caller.
-        origin: Service of the VM at which requests begin, empty if unknown.
-        identify: Tells whose a request is, by host, path, method and what it shows.
+        active: Counts the requests being handled.
+        ending: Tells when this process will shut down.
+        dialect: Header names used with callers.
+        caller_header: Header in which callers name themselves.
+        origin: Service of the VM at which requests originate, empty if unknown.
+        identify: Returns who sent a request, by host, path, method and credential.
     """
 
     dispatch: Callable[[Request], Served]
@@ -75,37 +76,37 @@
 
 
 class CallerConnection:
-    """Answers the requests of one connection in the thread that calls `run`.
+    """Handles the requests of one connection in the thread that calls `run`.
 
     Args:
-        sock: The caller's; closed at the end.
-        remote: IP number of the caller.
-        desk: What to work with.
+        sock: The caller's socket; closed at the end.
+        remote: IP address of the caller.
+        context: Dependencies shared by all connections.
     """
 
-    def __init__(self, sock: socket.socket, remote: str, desk: ConnectionContext) -> None:
+    def __init__(self, sock: socket.socket, remote: str, context: ConnectionContext) -> None:
         self._sock = sock
         self._remote = remote
-        self._desk = desk
+        self._context = context
         self._limits = CallerLimits()
         self._codec = h11.Connection(h11.SERVER)
         self._ahead = b""
 
     def run(self) -> None:
-        """Answer requests until the caller or the node wants no more of them."""
+        """Handle requests until the caller or this node ends the connection; never raises."""
         try:
             while self._serve_next():
                 pass
             self._linger()
-        except _GoneError:
+        except _ConnectionEndedError:
             pass
         except Exception:
-            _log.exception("connection of %s failed", self._remote)
+            _log.exception("connection from %s failed", self._remote)
         finally:
             self._sock.close()
 
     def _serve_next(self) -> bool:
-        """Serve one request; return whether the connection is kept."""
+        """Handle one request; return whether to keep the connection open."""
         if not self._ahead:
             self._ahead = self._wait_for_byte()
         since = clock.now()
@@ -114,7 +115,7 @@
         except RefusedError as refused:
             self._refuse(refused, "", since)
             return False
-        with self._desk.active:
+        with self._context.active:
             return self._serve(head)
 
     def _serve(self, head: Head) -> bool:
@@ -127,57 +128,59 @@
         watch = SocketWatch(self._sock, self._codec)
         answer, kept = self._dispatch(request._replace(watch=watch), head)
         if watch.was_gone:
-            raise _GoneError
+            raise _ConnectionEndedError
         self._write(answer)
         self._ahead = self._codec.trailing_data[0]
         return kept
 
     def _dispatch(self, request: Request, head: Head) -> tuple[bytes, bool]:
-        """Return the answer, and whether the connection is kept after it."""
+        """Return the response, and whether to keep the connection open after it."""
         try:
-            served = self._desk.dispatch(request)
-            kept = head.keeps and (not self._desk.leaving() or self._has_next())
-            connection = _connection(kept=kept, old=head.is_old)
-            answer = outcome_bytes(served.outcome, head.method, self._desk.dialect, connection)
+            served = self._context.dispatch(request)
+            kept = head.wants_keep_alive and (
+                not self._context.leaving() or self._has_pipelined_request()
+            )
+            connection = _connection(kept=kept, is_http_10=head.is_http_10)
+            answer = outcome_bytes(served.outcome, head.method, self._context.dialect, connection)
         except Exception:
             _log.exception("a request of %s failed", self._remote)
             self._count(OutcomeKey("", "", "unknown", "internal-error"), head.read_at)
-            headers = [(OUTCOME_HEADER, "unknown")] if self._desk.dialect.own_prefix else []
-            return own_answer(502, headers, "unknown: internal-error\n", head.method), False
+            headers = [(OUTCOME_HEADER, "unknown")] if self._context.dialect.own_prefix else []
+            return generated_response(502, headers, "unknown: internal-error\n", head.method), False
         self._count(_key(served), head.read_at)
         return answer, kept
 
-    def _has_next(self) -> bool:
-        """Tell whether a next request has come already: it would be lost with the connection."""
+    def _has_pipelined_request(self) -> bool:
+        """Return whether another request has already arrived, which closing now would lose."""
         if self._codec.trailing_data[0]:
             return True
         try:
             return bool(self._sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
-        except OSError:  # nothing has come, or the caller is gone, which its answer will show
+        except OSError:  # no data, or the caller is gone: then writing the response fails
             return False
 
     def _refuse(self, refused: RefusedError, method: str, since: float) -> None:
         outcome = NotRun(refused.reason)
         self._count(_key(Served(outcome)), since)
-        headers = outcome_headers(outcome, self._desk.dialect)
-        self._write(own_answer(refused.status, headers, text_of(outcome), method))
+        headers = outcome_headers(outcome, self._context.dialect)
+        self._write(generated_response(refused.status, headers, outcome_text(outcome), method))
 
     def _count(self, key: OutcomeKey, since: float) -> None:
-        self._desk.metrics.record(key, clock.now() - since)
+        self._context.metrics.record(key, clock.now() - since)
 
     def _wait_for_byte(self) -> bytes:
-        """Wait for a request to begin; an idle connection ends in silence."""
+        """Wait for the first bytes of a request; close an idle connection without a response."""
         since = clock.now()
         while True:
-            left_s = since + self._desk.limits().idle_timeout_s - clock.now()
-            data = self._receive(min(IDLE_STEP_S, left_s))
+            left_s = since + self._context.limits().idle_timeout_s - clock.now()
+            data = self._receive(min(IDLE_POLL_S, left_s))
             if data is not None:
                 return data
-            if left_s <= IDLE_STEP_S or self._desk.leaving():
-                raise _GoneError
+            if left_s <= IDLE_POLL_S or self._context.leaving():
+                raise _ConnectionEndedError
 
     def _read_head(self, since: float) -> Head:
-        self._limits = self._desk.limits()
+        self._limits = self._context.limits()
         max_bytes = self._limits.max_header_bytes
         self._codec = h11.Connection(h11.SERVER, max_incomplete_event_size=max_bytes)
         self._codec.receive_data(self._ahead)
@@ -203,8 +206,8 @@
                     raise RefusedError(413, Reason.TOO_LARGE)
                 continue
             if self._codec.they_are_waiting_for_100_continue:
-                go_on = h11.InformationalResponse(status_code=100, headers=[], reason=b"Continue")
-                self._write(self._codec.send(go_on))
+                interim = h11.InformationalResponse(status_code=100, headers=[], reason=b"Continue")
+                self._write(self._codec.send(interim))
             self._feed(until)
         return bytes(body)
 
@@ -217,29 +220,29 @@
             raise RefusedError(400, Reason.BAD_REQUEST) from error
 
     def _feed(self, until: float) -> int:
-        """Give the codec what comes; return how many bytes came."""
+        """Pass received data to the codec; return the number of bytes."""
         data: bytes | None = None
         while data is None:
-            now, last_start = clock.now(), self._desk.ending.last_start(0.0)
-            if now >= last_start:  # told while it still can be: nothing of it has run
+            now, last_start = clock.now(), self._context.ending.last_start(0.0)
+            if now >= last_start:  # refused while there is time to respond: it has not run
                 raise RefusedError(503, Reason.LEAVING)
             if now >= until:
                 raise RefusedError(408, Reason.BAD_REQUEST)
-            data = self._receive(min(IDLE_STEP_S, until - now, last_start - now))
+            data = self._receive(min(IDLE_POLL_S, until - now, last_start - now))
         self._codec.receive_data(data)
         return len(data)
 
     def _receive(self, wait_s: float) -> bytes | None:
-        """Return what comes next, `None` if that is nothing in time."""
+        """Return the next received bytes, `None` on a timeout."""
         try:
             self._sock.settimeout(max(wait_s, READ_MIN_S))
             data = self._sock.recv(READ_BYTES)
         except TimeoutError:
             return None
         except OSError as error:
-            raise _GoneError from error
+            raise _ConnectionEndedError from error
         if not data:
-            raise _GoneError
+            raise _ConnectionEndedError
         return data
 
     def _write(self, data: bytes) -> None:
@@ -247,66 +250,68 @@
             self._sock.settimeout(WRITE_LIMIT_S)
             self._sock.sendall(data)
         except OSError as error:
-            _log.info("%s did not take its answer: %s", self._remote, error)
-            raise _GoneError from error
+            _log.info("cannot write the response to %s: %s", self._remote, error)
+            raise _ConnectionEndedError from error
 
     def _linger(self) -> None:
-        """Say that no more will come, and drop what the caller still sends for a while."""
+        """Shut down the sending side, then discard what the caller sends for up to `LINGER_S`."""
         try:
             self._sock.shutdown(socket.SHUT_WR)
         except OSError as error:
-            raise _GoneError from error
+            raise _ConnectionEndedError from error
         until = clock.now() + LINGER_S
         while (left_s := until - clock.now()) > 0:
             self._receive(left_s)
 
     def _request(self, head: Head) -> Request:
-        """Read the rest of a request, unless its key says that it is not taken."""
-        dialect = self._desk.dialect
-        host, path = head.where()
+        """Read the rest of a request, unless its credential is refused."""
+        dialect = self._context.dialect
+        host, path = head.host_and_path()
         access = self._identify(head, host, path)
         deadline = head.deadline(dialect.deadline)
         key = head.key()
         body = self._read_body(head)
-        if body:  # it may have taken long, and the key may be gone meanwhile
+        if body:  # it may have taken long, and the key may have been revoked meanwhile
             access = self._identify(head, host, path)
         named, proof = self._caller(head, access)
         return Request(
             host=host,
             method=head.method,
             path=path,
-            headers=head.forwarded(dialect, host, self._remote, withholds=access is not None),
+            headers=head.forwarded(
+                dialect, host, self._remote, drop_authorization=access is not None
+            ),
             body=body,
             caller=named or self._remote,
             deadline=deadline,
             key=key,
             repeat=head.is_repeat,
             id=head.header(dialect.request_id) if dialect.caller_sets_id else "",
-            origin=self._desk.origin,
+            origin=self._context.origin,
             fingerprint=fingerprint(host, head.method, path, named or proof, body),
             access=access,
         )
 
     def _caller(self, head: Head, access: Access | None) -> tuple[str, str]:
-        """Return how a caller is named, and by what else it is told from others.
+        """Return the caller's name and, where no customers are configured, its credential.
 
-        Where there are customers they are the callers; else callers name themselves, or what they
-        show tells them apart wherever they come.
+        Where customers are configured, they are the callers. Otherwise callers name themselves in a
+        header, or their credentials distinguish them on every node.
         """
         if access is not None and access.customer is not None:
             return access.customer.name, ""
-        proof = "" if access is not None else head.header(self._desk.dialect.authorization)
-        return head.header(self._desk.caller_header), proof
+        proof = "" if access is not None else head.header(self._context.dialect.authorization)
+        return head.header(self._context.caller_header), proof
 
     def _identify(self, head: Head, host: str, path: str) -> Access | None:
-        """Return whose a request is.
+        """Return who sent a request, `None` where no customers are configured.
 
         Raises:
-            RefusedError: Nobody's who may send it.
+            RefusedError: The credential does not entitle the caller to send it.
         """
-        dialect = self._desk.dialect
+        dialect = self._context.dialect
         credential = Credential.from_headers(head.headers, dialect.authorization, dialect.scheme)
-        access = self._desk.identify(host, path, head.method, credential)
+        access = self._context.identify(host, path, head.method, credential)
         if access is None or access.refusal is None:
             return access
         decided(
@@ -321,14 +326,14 @@
         raise RefusedError(status_of(access.refusal), access.refusal.reason)
 
 
-class _GoneError(Exception):
-    """The connection ends without another word."""
+class _ConnectionEndedError(Exception):
+    """The connection is to be closed without sending anything more."""
 
 
-def _connection(*, kept: bool, old: bool) -> str:
+def _connection(*, kept: bool, is_http_10: bool) -> str:
     if not kept:
         return "close"
-    return "keep-alive" if old else ""
+    return "keep-alive" if is_http_10 else ""
 
 
 def _key(served: Served) -> OutcomeKey:
--- a/roadpass/caller_head.py
+++ b/roadpass/caller_head.py
@@ -1,4 +1,4 @@
-"""The head of a caller's request: request line and headers, and what is read from them."""
+"""The head of a caller's request: request line and headers, and the values parsed from them."""
 
 import re
 from functools import lru_cache
@@ -10,10 +10,10 @@
 from roadpass.hop import connection_tokens, end_to_end
 from roadpass.outcome import Headers, Reason
 
-MAX_KEY = 128
-"""Characters of an idempotency key; it is kept by sidecars and told between nodes."""
+MAX_IDEMPOTENCY_KEY_CHARS = 128
+"""Maximum length of an idempotency key, which sidecars store and nodes send to each other."""
 MAX_DEADLINE_DIGITS = 15
-"""Digits of a deadline in milliseconds; longer ones cannot be meant."""
+"""Maximum digits of a deadline in milliseconds; a longer value is certainly a mistake."""
 
 REPEAT_HEADER = "Roadpass-Repeat"
 KEY_HEADER = "Idempotency-Key"
@@ -22,10 +22,10 @@
 
 
 class RefusedError(Exception):
-    """A request that is answered without being dispatched; the connection ends after it.
+    """The request is refused without being dispatched; the connection is closed afterwards.
 
     Args:
-        status: Of the answer.
+        status: HTTP status of the response.
         reason: Why the request is not dispatched.
     """
 
@@ -41,32 +41,36 @@
     method: str
     target: str
     headers: Headers
-    is_old: bool
+    is_http_10: bool
     read_at: float
 
     @classmethod
     def from_event(cls, event: h11.Request, read_at: float) -> "Head":
-        """Return what the codec took in as a request's head."""
+        """Build a head from the codec's request event."""
         headers = [
             (name.decode("latin-1"), value.decode("latin-1"))
             for name, value in event.headers.raw_items()
         ]
-        is_old = event.http_version == b"1.0"
-        return cls(event.method.decode(), event.target.decode(), headers, is_old, read_at)
+        is_http_10 = event.http_version == b"1.0"
+        return cls(event.method.decode(), event.target.decode(), headers, is_http_10, read_at)
 
     @property
-    def keeps(self) -> bool:
-        """Whether the caller wants the connection to be kept."""
+    def wants_keep_alive(self) -> bool:
+        """Whether the caller wants the connection to stay open after the response."""
         tokens = connection_tokens(self.headers)
-        return "close" not in tokens and (not self.is_old or "keep-alive" in tokens)
+        return "close" not in tokens and (not self.is_http_10 or "keep-alive" in tokens)
 
     def header(self, name: str) -> str:
-        """Return a header, empty if it is missing."""
+        """Return a header, empty if it is missing; repeated ones are joined with commas."""
         wanted = name.lower()
         return ", ".join(value for given, value in self.headers if given.lower() == wanted)
 
-    def where(self) -> tuple[str, str]:
-        """Return host and path with query."""
+    def host_and_path(self) -> tuple[str, str]:
+        """Return the host, and the path with the query; an absolute request target names both.
+
+        Raises:
+            RefusedError: The request target has neither form.
+        """
         if found := _ABSOLUTE.fullmatch(self.target):
             host, path = found.groups()
             return host, path if path.startswith("/") else f"/{path}"
@@ -75,7 +79,11 @@
         return self.header("Host"), self.target
 
     def deadline(self, name: str) -> float | None:
-        """Return the caller's deadline in clock seconds, `None` for none."""
+        """Return the caller's deadline in clock seconds, `None` for none.
+
+        Raises:
+            RefusedError: The header is not a number of milliseconds.
+        """
         wanted = self.header(name)
         if not any(given.lower() == name.lower() for given, _ in self.headers):
             return None
@@ -84,29 +92,33 @@
         return self.read_at + int(wanted) / 1000.0
 
     def key(self) -> str:
-        """Return the idempotency key, empty for none."""
+        """Return the idempotency key, empty for none.
+
+        Raises:
+            RefusedError: The key is too long.
+        """
         key = self.header(KEY_HEADER)
-        if len(key) > MAX_KEY:
+        if len(key) > MAX_IDEMPOTENCY_KEY_CHARS:
             raise RefusedError(400, Reason.BAD_REQUEST)
         return key
 
     @property
     def is_repeat(self) -> bool:
-        """Whether the caller says that it sent this request before."""
+        """Whether the caller declares that it sent this request before."""
         return self.header(REPEAT_HEADER).lower() in ("1", "true")
 
     def forwarded(
-        self, dialect: Dialect, host: str, remote: str, *, withholds: bool = False
+        self, dialect: Dialect, host: str, remote: str, *, drop_authorization: bool = False
     ) -> Headers:
-        """Return the headers that go on to a target.
+        """Return the headers to forward to a target.
 
         Args:
-            dialect: Header names towards callers.
-            host: As `where` returned it.
-            remote: IP number of the caller.
-            withholds: Whether what the caller proves itself by ends here.
+            dialect: Header names used with callers.
+            host: Host as returned by `host_and_path`.
+            remote: IP address of the caller.
+            drop_authorization: Whether to withhold the caller's credential from the target.
         """
-        dropped = _dropped_names(dialect, withholds=withholds)
+        dropped = _dropped_names(dialect, drop_authorization=drop_authorization)
         headers = [
             (name, host if name.lower() == "host" else value)
             for name, value in end_to_end(self.headers, dropped)
@@ -118,11 +130,11 @@
 
 
 @lru_cache(maxsize=4)
-def _dropped_names(dialect: Dialect, *, withholds: bool) -> frozenset[str]:
-    """Return the headers of callers that end here, in lower case."""
+def _dropped_names(dialect: Dialect, *, drop_authorization: bool) -> frozenset[str]:
+    """Return the names of caller headers that are not forwarded, in lower case."""
     names = ["Content-Length", "Expect", dialect.deadline, dialect.origin_service]
     names += [dialect.expected_instance, dialect.customer]
-    if withholds:
+    if drop_authorization:
         names.append(dialect.authorization)
     if dialect.caller_sets_id:
         names.append(dialect.request_id)
--- a/roadpass/caller_limits.py
+++ b/roadpass/caller_limits.py
@@ -1,16 +1,16 @@
-"""What a caller may send to a node, and how long it may take."""
+"""Size limits and timeouts for requests of callers."""
 
 from typing import NamedTuple
 
 
 class CallerLimits(NamedTuple):
-    """The bounds of one request and its connection.
+    """Limits for one request and its connection.
 
     Args:
-        max_header_bytes: Of the request line and all headers.
-        max_body_bytes: Of a body, which is held in memory.
+        max_header_bytes: Maximum size of the request line and all headers.
+        max_body_bytes: Maximum size of a body, which is held in memory.
         header_timeout_s: Seconds from the first byte of a request to the end of its headers.
-        idle_timeout_s: Seconds that a connection may wait for a request's first byte.
+        idle_timeout_s: Seconds that a connection may wait for the first byte of a request.
     """
 
     max_header_bytes: int = 16384
--- a/roadpass/caller_watch.py
+++ b/roadpass/caller_watch.py
@@ -1,21 +1,21 @@
-"""The watch over a caller's connection while its request is under way."""
+"""Detects that a caller has disconnected while its request is in progress."""
 
 import socket
 
 import h11
 
 MAX_AHEAD_BYTES = 256 * 1024
-"""Bytes kept of requests that come before their turn; bounds the memory of a connection."""
+"""Maximum bytes buffered for pipelined requests; bounds the memory used by a connection."""
 READ_BYTES = 64 * 1024
-"""Bytes asked for by one read; large enough that most requests come in one."""
+"""Size of one read; large enough for most requests to arrive in one."""
 
 
 class SocketWatch:
-    """Tells whether a caller has left; keeps what it sends in the meantime for later.
+    """Detects a disconnect of the caller; buffers what it sends meanwhile for later.
 
     Args:
-        sock: The caller's, not blocking.
-        codec: Takes in the bytes that come.
+        sock: The caller's socket, non-blocking.
+        codec: Receives the bytes that arrive.
     """
 
     def __init__(self, sock: socket.socket, codec: h11.Connection) -> None:
@@ -26,20 +26,20 @@
 
     @property
     def watchable(self) -> bool:
-        """Whether polling `fileno` for input can still tell anything new."""
+        """Whether polling `fileno` for input can still reveal a change."""
         return not self._gone and self._ahead < MAX_AHEAD_BYTES
 
     @property
     def was_gone(self) -> bool:
-        """Whether the caller was found to have closed."""
+        """Whether an earlier call of `gone` found the connection closed."""
         return self._gone
 
     def fileno(self) -> int:
-        """Return the descriptor of the caller's connection."""
+        """Return the file descriptor of the caller's connection, -1 once it is closed."""
         return self._sock.fileno()
 
     def gone(self) -> bool:
-        """Take in what has come, without waiting, and tell whether the caller has closed."""
+        """Read what has arrived, without waiting, and return whether the caller has closed."""
         while self.watchable:
             try:
                 data = self._sock.recv(min(READ_BYTES, MAX_AHEAD_BYTES - self._ahead))
--- a/roadpass/dialect.py
+++ b/roadpass/dialect.py
@@ -1,27 +1,29 @@
-"""The header names by which a node speaks to callers and targets."""
+"""Header names that a node uses with callers and targets."""
 
 from typing import NamedTuple
 
 
 class Dialect(NamedTuple):
-    """Header names towards callers and targets; an empty name is neither sent nor read.
+    """Header names used with callers and targets; a header with an empty name is not used.
 
     Args:
-        deadline: Milliseconds that are left, read from callers and told to targets.
-        request_id: Names a request; told to targets, and read from their answers.
-        caller_sets_id: Whether callers send the id, which then goes on unchanged; otherwise the
-            attempt's own id is told.
-        echoes_id: Whether a target must send the id back; an answer without it is not its own.
-        expected_instance: Names the incarnation of the target that is meant.
-        instance: Names the incarnation that answered.
-        origin_service: Names the service of the VM at which a request began.
-        not_run: Says in a target's answer that it did not run the request.
-        load: Carries a target's running, waiting and slots, separated by commas.
-        ends_by_close: Whether an answer without a length is whole once its connection ends cleanly.
+        deadline: Remaining milliseconds, read from callers and sent to targets.
+        request_id: Id of a request, sent to targets and read from their responses.
+        caller_sets_id: Whether callers send the id, which is then forwarded unchanged; otherwise
+            the attempt's id is sent.
+        echoes_id: Whether a target must return the id; a response without it belongs to another
+            request.
+        expected_instance: Incarnation of the target that the request is meant for.
+        instance: Incarnation of the target that responded.
+        origin_service: Service of the VM at which a request originated.
+        not_run: Marks a target's response as "request not run".
+        load: A target's running and waiting requests and its slots, separated by commas.
+        ends_by_close: Whether a response without a length is complete once its connection is closed
+            cleanly.
         exact_retry_after: Whether `Retry-After` may have fractions of a second.
-        authorization: Carries a caller's key, after the word `scheme`.
-        customer: Names to a target the customer whose key the caller showed.
-        own_prefix: Headers with this prefix (lower case) are the fleet's own and go no further.
+        authorization: A caller's key, preceded by `scheme`.
+        customer: Customer whose key the caller sent, passed on to the target.
+        own_prefix: Lower-case prefix of the fleet's own headers, which are not forwarded.
     """
 
     deadline: str = "Roadpass-Deadline-Ms"
@@ -42,4 +44,4 @@
 
 
 OWN = Dialect()
-"""The product's own names."""
+"""The default header names of roadpass."""
--- a/roadpass/hop.py
+++ b/roadpass/hop.py
@@ -1,4 +1,4 @@
-"""Headers that are meant for one connection only, and end there."""
+"""Hop-by-hop headers, which apply to a single connection and are not forwarded."""
 
 from collections.abc import Collection
 
@@ -7,11 +7,11 @@
 HOP_BY_HOP = frozenset(
     ("connection", "keep-alive", "te", "trailer", "transfer-encoding", "upgrade")
 )
-"""Such headers, in lower case; so are all that begin with `proxy-`."""
+"""Hop-by-hop header names in lower case; names that begin with `proxy-` are treated alike."""
 
 
 def connection_tokens(headers: Headers) -> set[str]:
-    """Return what the `Connection` headers list, in lower case."""
+    """Return the tokens listed in the `Connection` headers, in lower case."""
     return {
         token.strip().lower()
         for name, value in headers
@@ -21,11 +21,11 @@
 
 
 def end_to_end(headers: Headers, dropped: Collection[str] = ()) -> Headers:
-    """Return the headers that go on to the next connection.
+    """Return the headers to forward on the next connection.
 
     Args:
-        headers: As they came.
-        dropped: Names, in lower case, of further headers that end here.
+        headers: Headers as received.
+        dropped: Names, in lower case, of further headers not to forward.
     """
     ending = HOP_BY_HOP.union(connection_tokens(headers) - {"host"}, dropped)
     return [
--- a/roadpass/web.py
+++ b/roadpass/web.py
@@ -1,4 +1,4 @@
-"""What the HTTP servers of a node share: a gateway without WSGI, and answers in one piece."""
+"""Shared base of a node's HTTP servers: a gateway without WSGI that writes complete responses."""
 
 import socket
 import threading
@@ -18,12 +18,12 @@
 
 
 class WebServer(HTTPServer):
-    """A cheroot server that knows how many requests it is answering.
+    """A cheroot server that counts the requests it is handling.
 
     Args:
-        address: IP number and port.
-        gateway: Class that answers one request.
-        owner: What the gateway works for.
+        address: IP address and port.
+        gateway: Class that handles one request.
+        owner: Object that the gateway uses as its application.
         threads: Worker threads.
     """
 
@@ -44,12 +44,12 @@
         self._thread = threading.Thread(target=self._run, name="web", daemon=True)
 
     def start_thread(self) -> None:
-        """Bind, and serve in a thread of its own."""
+        """Bind the address and serve in a new thread; binding errors are raised here."""
         self.prepare()
         self._thread.start()
 
     def add_active(self, change: int) -> None:
-        """Count requests that are being answered."""
+        """Change the number of requests being handled; thread-safe."""
         with self._active_lock:
             self.active += change
 
@@ -58,14 +58,14 @@
 
 
 class WebGateway(Gateway):
-    """Answers one request; subclasses implement `answer`."""
+    """Handles one request; subclasses implement `answer`."""
 
     @abstractmethod
     def answer(self) -> None:
-        """Answer the request, usually by one call of `reply`."""
+        """Handle the request, usually with one call of `reply`."""
 
     def respond(self) -> None:
-        """Count the request while it is answered."""
+        """Call `answer`, counting the request as active meanwhile."""
         server = self.req.server
         server.add_active(1)
         try:
@@ -75,25 +75,25 @@
 
     @property
     def method(self) -> str:
-        """HTTP method."""
+        """HTTP method of the request."""
         method: str = self.req.method.decode("latin-1")
         return method
 
     @property
     def uri(self) -> str:
-        """Path with query."""
+        """Path of the request with its query string."""
         path: str = self.req.path.decode("latin-1")
         query: str = self.req.qs.decode("latin-1")
         return f"{path}?{query}" if query else path
 
     @property
     def sock(self) -> socket.socket:
-        """The caller's socket."""
+        """Socket of the caller's connection."""
         sock: socket.socket = self.req.conn.socket
         return sock
 
     def header(self, name: str) -> str:
-        """Return a request header, empty if it is missing."""
+        """Return the value of a request header, empty if it is missing."""
         value: bytes = self.req.inheaders.get(name.encode("latin-1"), b"")
         return value.decode("latin-1")
 
@@ -117,7 +117,7 @@
         *,
         close: bool = False,
     ) -> None:
-        """Write a whole answer."""
+        """Write a complete response; `Content-Length` and `Date` are added."""
         req = self.req
         req.status = f"{status} {_PHRASES.get(status, 'Status')}".encode("latin-1")
         req.outheaders = [
@@ -134,7 +134,7 @@
 
 @lru_cache(maxsize=2)
 def _date(second: int) -> bytes:
-    """Return the Date header's value; made once a second, not once an answer."""
+    """Return the value of the `Date` header; cached, so it is formatted once per second."""
     return formatdate(second, usegmt=True).encode()
 
 
--- a/tests/test_caller_answer.py
+++ b/tests/test_caller_answer.py
@@ -1,4 +1,4 @@
-"""What callers get back over real sockets: answers of targets and of this node."""
+"""Responses that callers receive over real sockets, from targets and from this node."""
 
 import time
 from collections.abc import Iterator
@@ -6,7 +6,7 @@
 import pytest
 
 from roadpass import caller_connection
-from roadpass.caller_answer import answer_bytes
+from roadpass.caller_answer import response_bytes
 from roadpass.caller_limits import CallerLimits
 from roadpass.outcome import Answered, NotRun, Outcome, Reason, Unknown
 from roadpass.request import Request, Served
@@ -15,13 +15,13 @@
 
 @pytest.fixture
 def bench() -> Iterator[Bench]:
-    """Run an ingress in the own dialect."""
+    """Run an ingress with the default header names."""
     with opened() as made:
         yield made
 
 
-def test_answer_of_a_target(bench: Bench) -> None:
-    """Its headers go on unchanged, but for those of one hop; the outcome is told."""
+def test_response_of_a_target(bench: Bench) -> None:
+    """Headers are forwarded unchanged, except hop-by-hop ones; the outcome is added."""
     given = [
         ("X-a", "1"),
         ("Connection", "X-Hop"),
@@ -60,10 +60,10 @@
         ("GET", 304, "", None),
     ],
 )
-def test_answers_without_a_body(
+def test_responses_without_a_body(
     bench: Bench, method: str, status: int, given: str, length: str | None
 ) -> None:
-    """They have none, keep the length that the target told, and the connection goes on."""
+    """No body is sent, the target's `Content-Length` is kept, and the connection stays usable."""
     bench.answer(Answered(status, [("Content-Length", given)] if given else [], b""))
     caller = bench.caller()
     caller.send(GET.replace(b"GET", method.encode()))
@@ -73,8 +73,8 @@
     assert caller.ask(GET).body == b"next"
 
 
-def test_own_answer_to_head(bench: Bench) -> None:
-    """Its text is left out, its length told."""
+def test_generated_response_to_head(bench: Bench) -> None:
+    """The text is left out, but its length is sent."""
     bench.answer(NotRun(Reason.NO_ROUTE))
     caller = bench.caller()
     caller.send(GET.replace(b"GET", b"HEAD"))
@@ -84,9 +84,9 @@
     assert caller.ask(GET).body == b"next"
 
 
-def test_header_that_would_pass_for_another() -> None:
-    """Line ends in a value cannot make a header, and what is no name is left out."""
-    data = answer_bytes(200, [("X", "1\r\nY: 2"), ("a b", "3"), ("Z", "\u20ac")], b"", "GET")
+def test_header_injection() -> None:
+    """Line breaks in a value cannot add a header, and headers with invalid names are dropped."""
+    data = response_bytes(200, [("X", "1\r\nY: 2"), ("a b", "3"), ("Z", "\u20ac")], b"", "GET")
     lines = data.split(b"\r\n")
     assert b"X: 1  Y: 2" in lines
     assert b"Z: ?" in lines
@@ -101,10 +101,10 @@
         (Unknown(Reason.TIMEOUT), 504, "timeout", None),
     ],
 )
-def test_outcomes_without_an_answer(
+def test_outcomes_without_a_response(
     bench: Bench, outcome: NotRun | Unknown, status: int, reason: str, retry_after: str | None
 ) -> None:
-    """They are told by status, headers and a short text, and counted; the connection goes on."""
+    """Reported by status, headers and a short text, and counted; the connection stays open."""
     name = "not-run" if isinstance(outcome, NotRun) else "unknown"
     bench.answer(outcome)
     caller = bench.caller()
@@ -120,14 +120,16 @@
     assert caller.ask(GET).status == status
 
 
-@pytest.mark.parametrize(("ms", "told"), [(1500, "1.5"), (500, "0.5"), (2000, "2"), (7, "0.007")])
-def test_answers_in_another_dialect(ms: int, told: str) -> None:
-    """The own headers are left out; when to come back is told exactly."""
+@pytest.mark.parametrize(
+    ("ms", "expected"), [(1500, "1.5"), (500, "0.5"), (2000, "2"), (7, "0.007")]
+)
+def test_responses_in_another_dialect(ms: int, expected: str) -> None:
+    """The `Roadpass-` headers are left out; `Retry-After` has fractions of a second."""
     with opened(PLAIN) as bench:
         caller = bench.caller()
         bench.answer(NotRun(Reason.NO_CAPACITY, ms))
         reply = caller.ask(GET)
-        assert (reply.status, reply.header("Retry-After")) == (503, told)
+        assert (reply.status, reply.header("Retry-After")) == (503, expected)
         assert "roadpass" not in str(reply.headers).lower()
         bench.answer(Answered(200, [("Retry-After", "9")], b""))
         reply = caller.ask(GET)
@@ -136,10 +138,10 @@
 
 
 @pytest.mark.parametrize("bad", [None, Answered(101, [], b"")])
-def test_fault_in_dispatch(
+def test_exception_in_dispatch(
     bench: Bench, caplog: pytest.LogCaptureFixture, bad: Outcome | None
 ) -> None:
-    """The caller is told that its request may have run; the fault is logged."""
+    """The caller gets "unknown", since its request may have run; the error is logged."""
 
     def fail(_: Request) -> Served:
         if bad is None:
@@ -159,8 +161,8 @@
     assert bench.caller().ask(GET).status == 502
 
 
-def test_answer_goes_out_in_one_piece(bench: Bench, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Head and body are written together."""
+def test_response_is_written_at_once(bench: Bench, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Head and body are written with one call."""
     pieces = []
     write = caller_connection.CallerConnection._write
 
@@ -176,7 +178,7 @@
 
 
 def test_caller_that_does_not_read(bench: Bench, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Its thread is free again after the write limit."""
+    """Its thread is released after the write timeout."""
     assert caller_connection.WRITE_LIMIT_S == 10.0
     monkeypatch.setattr(caller_connection, "WRITE_LIMIT_S", 0.2)
     bench.answer(Answered(200, [], b"x" * 64_000_000))
@@ -187,11 +189,11 @@
     until(lambda: watch_of(bench.requests[0]).fileno() == -1)
 
 
-# Ends of connections
+# Closing connections
 
 
 @pytest.mark.parametrize(
-    ("version", "asked", "told"),
+    ("version", "asked", "expected"),
     [
         ("1.1", "", None),
         ("1.1", "close", "close"),
@@ -200,23 +202,21 @@
         ("1.0", "keep-alive", "keep-alive"),
     ],
 )
-def test_what_the_caller_wants_of_its_connection(
-    bench: Bench, version: str, asked: str, told: str | None
-) -> None:
-    """A connection is kept or closed as the caller asked, or as its version has it."""
+def test_keep_alive(bench: Bench, version: str, asked: str, expected: str | None) -> None:
+    """A connection is kept or closed as requested, or by the default of the HTTP version."""
     line = f"Connection: {asked}\r\n" if asked else ""
     request = f"GET /a HTTP/{version}\r\nHost: shop\r\n{line}\r\n".encode()
     caller = bench.caller()
     reply = caller.ask(request)
-    assert (reply.status, reply.header("Connection")) == (200, told)
-    if told == "close":
+    assert (reply.status, reply.header("Connection")) == (200, expected)
+    if expected == "close":
         assert caller.rest() == b""
     else:
         assert caller.ask(request).status == 200
 
 
-def test_closing_over_unread_bytes_keeps_the_answer(bench: Bench) -> None:
-    """The caller reads its answer to the end, and what it sent behind is dropped."""
+def test_closing_with_unread_data_does_not_lose_the_response(bench: Bench) -> None:
+    """The caller receives its whole response; what it sent after the request is discarded."""
     last = GET.replace(b"Host", b"Connection: close\r\nHost")
     caller = bench.caller()
     caller.send(last + GET + post(b"x" * 300_000))
@@ -227,8 +227,8 @@
     assert len(bench.requests) == 1
 
 
-def test_refused_body_does_not_reset_the_answer() -> None:
-    """A caller that writes its whole body before it reads gets to see the refusal."""
+def test_a_refused_body_does_not_lose_the_response() -> None:
+    """A caller that writes its whole body before it reads still receives the refusal."""
     with opened(limits=CallerLimits(max_body_bytes=100)) as bench:
         caller = bench.caller()
         caller.send(post(b"x" * 4_000_000))
@@ -237,7 +237,7 @@
 
 
 def test_lingering_is_bounded(bench: Bench, monkeypatch: pytest.MonkeyPatch) -> None:
-    """A caller that never closes its side does not hold the thread."""
+    """A caller that never closes its side does not block the thread."""
     assert caller_connection.LINGER_S == 1.0
     monkeypatch.setattr(caller_connection, "LINGER_S", 0.2)
     caller = bench.caller()
--- a/tests/test_caller_connection.py
+++ b/tests/test_caller_connection.py
@@ -1,4 +1,4 @@
-"""What callers send over real sockets: requests as they are read, bad ones, limits, leaving."""
+"""Requests of callers over real sockets: parsing, malformed input, limits and disconnects."""
 
 import socket
 import struct
@@ -19,13 +19,13 @@
 
 @pytest.fixture
 def bench() -> Iterator[Bench]:
-    """Run an ingress in the own dialect."""
+    """Run an ingress with the default header names."""
     with opened() as made:
         yield made
 
 
 def test_request_as_it_is_dispatched(bench: Bench) -> None:
-    """Order, case and duplicates of headers stay; what is for this hop only goes."""
+    """Order, case and duplicates of headers are kept; hop-by-hop headers are removed."""
     before = clock.now()
     bench.caller().ask(
         b"POST /a/b%20c?x=1&y HTTP/1.1\r\nX-One: 1\r\nHost: shop:80\r\nX-two: a\r\n"
@@ -53,7 +53,7 @@
 
 
 def test_request_in_another_dialect() -> None:
-    """Its names are read and taken out; the own prefix means nothing there."""
+    """Its headers are read and removed; the prefix `Roadpass-` has no meaning there."""
     with opened(PLAIN) as bench:
         bench.caller().ask(
             b"GET / HTTP/1.1\r\nHost: shop\r\nx-left-ms: 1000\r\nX-Id: 42\r\nX-Origin: o\r\n"
@@ -66,8 +66,8 @@
     assert request.caller == "127.0.0.1"
 
 
-def test_a_fingerprint_tells_neither_id_nor_vm_but_who_asks(bench: Bench) -> None:
-    """A caller that does not name itself is told apart by what it proves itself with."""
+def test_a_fingerprint_depends_on_the_caller_but_not_on_the_request_id(bench: Bench) -> None:
+    """A caller that does not name itself is distinguished by its credential."""
     head = b"GET /a HTTP/1.1\r\nHost: shop\r\nRoadpass-Request-Id: %d\r\n%s\r\n"
     who = (b"", b"Roadpass-Caller: a\r\n", b"Authorization: b\r\n")
     for number, name in enumerate((*who, *who)):
@@ -79,7 +79,7 @@
 
 
 def test_deadline_counts_from_the_head(bench: Bench) -> None:
-    """The time a body takes is part of the caller's time."""
+    """The time for receiving the body counts towards the caller's deadline."""
     caller = bench.caller()
     whole = post(b"abc", "Roadpass-Deadline-Ms: 1000\r\n")
     caller.send(whole[:-3])
@@ -102,7 +102,7 @@
     ],
 )
 def test_target_forms(bench: Bench, target: str, host: str, path: str) -> None:
-    """The absolute form names the host, also to the target."""
+    """The absolute form determines the host, also in the `Host` header for the target."""
     bench.caller().ask(f"OPTIONS {target} HTTP/1.1\r\nHost: shop\r\n\r\n".encode())
     (request,) = bench.requests
     assert (request.host, request.path) == (host, path)
@@ -110,7 +110,7 @@
 
 
 def test_chunked_body(bench: Bench) -> None:
-    """A body in chunks is put together, however it comes, and told without its chunks."""
+    """A chunked body is reassembled however it arrives; chunk and trailer headers are dropped."""
     caller = bench.caller()
     for piece in (
         b"POST /a HTTP/1.1\r\nHost: shop\r\nTransfer-Encoding: chunked\r\n\r\n3\r\na",
@@ -125,7 +125,7 @@
 
 
 def test_waiting_for_100_continue(bench: Bench) -> None:
-    """A caller that waits for leave to send its body gets it, once."""
+    """A caller that waits for `100 Continue` before sending its body receives it once."""
     caller = bench.caller()
     whole = post(b"abcd", "Expect: 100-continue\r\n")
     caller.send(whole[:-4])
@@ -138,8 +138,8 @@
     assert "Expect" not in dict(bench.requests[0].headers)
 
 
-def test_no_100_continue_when_the_body_has_come(bench: Bench) -> None:
-    """A body that is there already is not asked for."""
+def test_no_100_continue_when_the_body_has_arrived(bench: Bench) -> None:
+    """No interim response is sent if the body has already arrived."""
     assert bench.caller().ask(post(b"abcd", "Expect: 100-continue\r\n")).status == 200
 
 
@@ -147,7 +147,7 @@
 
 
 def refused(bench: Bench, data: bytes) -> Reply:
-    """Send what is refused; return the answer, after which the connection must end cleanly."""
+    """Send a request that is refused; check that the connection ends, return the response."""
     caller = bench.caller()
     reply = caller.ask(data)
     assert reply.header("Connection") == "close"
@@ -178,7 +178,7 @@
     ids=lambda data: repr(data[:40]),
 )
 def test_malformed(bench: Bench, data: bytes) -> None:
-    """What is no request, or has values that cannot be, is answered and counted as not run."""
+    """Invalid requests and header values are refused with 400 and counted as not run."""
     reply = refused(bench, data)
     assert reply.status == 400
     assert reply.header("Roadpass-Outcome") == "not-run"
@@ -188,7 +188,7 @@
 
 @pytest.mark.parametrize("end", [b"", b"\r\n\r\n"])
 def test_header_over_the_limit(end: bytes) -> None:
-    """Too long a head is refused, whether it has come whole or not."""
+    """A head that is too long is refused, whether or not it has arrived completely."""
     head = b"GET /a HTTP/1.1\r\nHost: shop\r\nX: "
     with opened(limits=CallerLimits(max_header_bytes=1000)) as bench:
         reply = refused(bench, head + b"x" * (1001 - len(head) - len(end)) + end)
@@ -208,7 +208,7 @@
     ],
 )
 def test_body_over_the_limit(data: bytes) -> None:
-    """Too long a body is refused, by its length at once, in chunks as soon as it is over."""
+    """A body that is too long is refused: by its length at once, in chunks once it is exceeded."""
     with opened(limits=CallerLimits(max_body_bytes=100)) as bench:
         reply = refused(bench, data)
         assert (reply.status, reply.header("Roadpass-Reason")) == (413, "too-large")
@@ -218,15 +218,15 @@
 
 
 def test_limits_are_read_for_each_request(bench: Bench) -> None:
-    """A limit that changes holds for the next request of a kept connection."""
+    """A changed limit applies to the next request on an open connection."""
     caller = bench.caller()
     assert caller.ask(post(b"x" * 200)).status == 200
     bench.view.limits = CallerLimits(max_body_bytes=100)
     assert caller.ask(post(b"x" * 200)).status == 413
 
 
-def test_head_not_whole_in_time() -> None:
-    """The time counts from the first byte, however often more comes."""
+def test_head_timeout() -> None:
+    """The timeout counts from the first byte, even if more data arrives."""
     with opened(limits=CallerLimits(header_timeout_s=0.2)) as bench:
         caller = bench.caller()
         caller.send(b"GET /a HTTP/1.1\r\nX: ")
@@ -241,8 +241,8 @@
         assert bench.requests == []
 
 
-def test_body_not_whole_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A body has its own, longer time."""
+def test_body_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A body has its own, longer timeout."""
     assert caller_connection.BODY_MIN_S == 10.0
     monkeypatch.setattr(caller_connection, "BODY_MIN_S", 0.3)
     with opened(limits=CallerLimits(header_timeout_s=0.05)) as bench:
@@ -255,8 +255,8 @@
         assert bench.requests == []
 
 
-def test_caller_that_leaves_in_the_middle(bench: Bench) -> None:
-    """A request that never became whole is neither dispatched nor answered."""
+def test_caller_that_disconnects_during_a_request(bench: Bench) -> None:
+    """An incomplete request is neither dispatched nor answered."""
     caller = bench.caller()
     caller.send(post(b"abc")[:-1])
     caller.sock.shutdown(socket.SHUT_WR)
@@ -264,19 +264,19 @@
     assert bench.requests == []
 
 
-def test_idle_connection_ends_in_silence() -> None:
-    """Without a byte for the idle time a connection is closed, new or kept."""
+def test_idle_connection_is_closed_without_a_response() -> None:
+    """A connection without data for the idle timeout is closed, whether new or reused."""
     with opened(limits=CallerLimits(idle_timeout_s=0.1)) as bench:
         new, kept = bench.caller(), bench.caller()
         assert kept.ask(GET).status == 200
         assert new.rest() == kept.rest() == b""
 
 
-# Order, and the watch
+# Pipelining and detection of disconnects
 
 
 def test_pipelined_requests_are_answered_in_order(bench: Bench) -> None:
-    """Requests that came together, or while another ran, are served one after the other."""
+    """Requests that arrive together, or while another runs, are handled one after the other."""
     running = threading.Event()
     go_on = threading.Event()
 
@@ -301,8 +301,8 @@
     assert caller.ask(b"ur").body == b"/4four"
 
 
-def test_bytes_ahead_are_bounded(bench: Bench) -> None:
-    """Beyond the bound the caller is watched no more; what it sent is served all the same."""
+def test_buffered_bytes_are_limited(bench: Bench) -> None:
+    """Beyond the limit, disconnects are no longer detected; the requests are still handled."""
     seen = []
     body = b"x" * (2 * MAX_AHEAD_BYTES)
 
@@ -323,7 +323,7 @@
 
 
 def reset(caller: Caller) -> None:
-    """Close a connection so that the other end sees a reset."""
+    """Close a connection with a TCP reset."""
     linger = struct.pack("ii", 1, 0)
     caller.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
     caller.close()
@@ -331,8 +331,10 @@
 
 @pytest.mark.parametrize("leave", [Caller.close, reset])
 @pytest.mark.parametrize("ahead", [b"", GET])
-def test_caller_that_has_left(bench: Bench, leave: Callable[[Caller], None], ahead: bytes) -> None:
-    """Its leaving shows, also behind bytes of a next request, and that is not served any more."""
+def test_caller_that_has_disconnected(
+    bench: Bench, leave: Callable[[Caller], None], ahead: bytes
+) -> None:
+    """The disconnect is detected, even after a pipelined request, which is then not handled."""
     seen = []
     closed: list[CallerWatch] = []
 
@@ -355,8 +357,8 @@
     assert bench.active == 0
 
 
-def test_nothing_is_answered_once_gone(bench: Bench) -> None:
-    """A caller that closed one direction only, and was found gone, gets no answer."""
+def test_no_response_after_a_disconnect(bench: Bench) -> None:
+    """A caller that closed its sending side and was found disconnected gets no response."""
 
     def serve(request: Request) -> Served:
         caller.sock.shutdown(socket.SHUT_WR)
@@ -370,8 +372,8 @@
     assert bench.outcomes() == [("", "", "answered", "")]
 
 
-def test_watch_does_not_wait(bench: Bench) -> None:
-    """Looking after a quiet caller takes no time."""
+def test_disconnect_check_does_not_block(bench: Bench) -> None:
+    """Checking a caller that sends nothing returns at once."""
     took = []
 
     def serve(request: Request) -> Served:
