--- a/roadpass/_actor.py
+++ b/roadpass/_actor.py
@@ -1,4 +1,4 @@
-"""The base of all actors: what a message brings about never ends the actor."""
+"""Base class of all actors; an error while handling a message never ends the actor."""
 
 import logging
 from typing import Any
@@ -9,17 +9,19 @@
 
 
 class Actor(pykka.ThreadingActor):
-    """A task that owns its state and sockets; subclasses implement `handle`."""
+    """An actor that owns its state and sockets; subclasses implement `handle`."""
 
     use_daemon_thread = True
 
     def handle(self, message: Any) -> None:
-        """Handle one message; an actor that only owns a socket takes none."""
-        _log.error("%s got an unknown message %r", type(self).__name__, message)
+        """Handle one message; the default is for actors that expect none."""
+        _log.error("%s received an unexpected message %r", type(self).__name__, message)
 
     def on_receive(self, message: Any) -> Any:
-        """Handle one message; an error is logged and the actor lives on."""
+        """Handle one message; an error is logged and the actor continues."""
         try:
             self.handle(message)
         except Exception:
-            _log.exception("%s failed on %s", type(self).__name__, type(message).__name__)
+            _log.exception(
+                "%s failed to handle a %s message", type(self).__name__, type(message).__name__
+            )
--- a/roadpass/_ticker.py
+++ b/roadpass/_ticker.py
@@ -1,4 +1,4 @@
-"""A thread that tells an actor to tick."""
+"""A thread that calls a function periodically, usually to send an actor its ticks."""
 
 import threading
 from collections.abc import Callable
@@ -7,12 +7,12 @@
 
 
 class Ticker:
-    """Calls a function at an interval until it is stopped or the actor is gone.
+    """Calls a function periodically until the ticker or the actor is stopped.
 
     Args:
-        name: Of the thread.
+        name: Name of the thread.
         interval_s: Seconds between calls.
-        tick: What to call, usually a proxy's method sent with `tell`.
+        tick: Function to call; it may raise `ActorDeadError` to end the ticker.
     """
 
     def __init__(self, name: str, interval_s: float, tick: Callable[[], None]) -> None:
@@ -22,11 +22,11 @@
         self._thread = threading.Thread(target=self._run, name=name, daemon=True)
 
     def start(self) -> None:
-        """Start to tick."""
+        """Start the thread; the first call comes after one interval."""
         self._thread.start()
 
     def stop(self) -> None:
-        """Stop to tick."""
+        """Stop the calls; a call in progress is not awaited."""
         self._stopped.set()
 
     def _run(self) -> None:
--- a/roadpass/cli/__init__.py
+++ b/roadpass/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The `roadpass` tool; the daemon never imports it."""
+"""The `roadpass` command-line tool; the daemon never imports it."""
--- a/roadpass/cli/_command.py
+++ b/roadpass/cli/_command.py
@@ -1,4 +1,4 @@
-"""What the commands share: errors with exit codes, output, and the administration API."""
+"""Shared code of the commands: exit codes, output and access to the administration API."""
 
 import json
 from abc import abstractmethod
@@ -19,17 +19,17 @@
 EXIT_FINDING = 1
 EXIT_ERROR = 2
 API_LIMIT_S = 5.0
-EXIT_HELP = "\nExit codes: 0 fine, 1 the answer is no, 2 bad input or no answer."
+EXIT_HELP = "\nExit codes: 0 success, 1 negative result, 2 invalid input or no response."
 
 JSON_OPTION = option("json", None, "Print JSON for programs.")
 NODE_ARGUMENT = argument("node", "Administration address of a node, ip:port.")
 
 
 class BaseCommand(Command):
-    """A command that turns roadpass errors into a message and an exit code."""
+    """A command that reports roadpass errors with a message and an exit code."""
 
     def handle(self) -> int:
-        """Run the command."""
+        """Run the command; errors are printed and give `EXIT_ERROR`."""
         try:
             return self.run_command()
         except (DocumentError, SettingsError) as error:
@@ -41,15 +41,15 @@
 
     @abstractmethod
     def run_command(self) -> int:
-        """Do the work and return the exit code."""
+        """Run the command and return its exit code; called by `handle`."""
 
     @property
     def wants_json(self) -> bool:
-        """Whether the caller asked for JSON."""
+        """Whether the option `--json` is set."""
         return bool(self.option("json"))
 
     def show(self, value: Any, heads: list[str], rows: list[Row]) -> None:
-        """Print a value as JSON, or rows as a table."""
+        """Print `value` as JSON with `--json`, otherwise `rows` as a table."""
         if self.wants_json:
             self.line(as_json(value))
             return
@@ -58,39 +58,39 @@
 
 
 def read_key(path: str) -> str:
-    """Return the key that a file holds, without the line's end.
+    """Return the key in a file, without its line ending.
 
     Raises:
-        CustomerError: It holds nothing that a request could show.
-        OSError: It cannot be read.
+        CustomerError: The content cannot be a key that a request sends.
+        OSError: The file cannot be read.
     """
     key = Path(path).read_text(encoding="utf-8", errors="replace").rstrip("\r\n")
     if not may_be_key(key):
-        raise CustomerError(f"{path} holds no key that a request could show.")
+        raise CustomerError(f"{path} does not contain a valid key.")
     return key
 
 
 def load_fleet(paths: list[str]) -> Fleet:
-    """Build a fleet from files, or from all `.jsonc` and `.json` files of a folder.
+    """Build a fleet from files, or from all `.jsonc` and `.json` files of folders.
 
     Raises:
-        DocumentError: They are not valid together.
-        OSError: One cannot be read.
+        DocumentError: The documents are invalid, or there are none.
+        OSError: A file cannot be read.
     """
     files: list[Path] = []
     for path in map(Path, paths):
         found = sorted([*path.glob("*.jsonc"), *path.glob("*.json")]) if path.is_dir() else [path]
         files += found
     if not files:
-        raise DocumentError(", ".join(paths), ["no documents there"])
+        raise DocumentError(", ".join(paths), ["no documents found"])
     return Fleet.from_documents([(file.name, file.read_text(encoding="utf-8")) for file in files])
 
 
 def read_node(node: str, page: str) -> Any:
-    """Read a page of a node's administration API.
+    """Fetch a page of a node's administration API and decode its JSON.
 
     Raises:
-        AdminError: There is no answer.
+        AdminError: The node sent no response, or one that is not JSON.
     """
     try:
         response = urllib3.request(
@@ -102,10 +102,10 @@
 
 
 def parse_instant(text: str | None) -> datetime:
-    """Return an instant with time zone; now if there is no text.
+    """Parse an instant, in local time unless it names a time zone; now if there is no text.
 
     Raises:
-        ValueError: It is not ISO 8601.
+        ValueError: The text is not in ISO 8601 format.
     """
     if not text:
         return datetime.now().astimezone()
--- a/roadpass/cli/application.py
+++ b/roadpass/cli/application.py
@@ -15,20 +15,20 @@
 
 
 class VersionCommand(BaseCommand):
-    """Prints the version."""
+    """Prints the version of the package."""
 
     name = "version"
     description = "The version of the tool."
-    help = "One line." + EXIT_HELP
+    help = "Prints one line." + EXIT_HELP
 
     def run_command(self) -> int:
-        """Print it."""
+        """Print the version and return `EXIT_OK`."""
         self.line(__version__)
         return EXIT_OK
 
 
 def application() -> Application:
-    """Return the tool with all its commands."""
+    """Build the command-line application with all its commands."""
     made = Application("roadpass", __version__)
     for command in (
         CheckCommand(),
@@ -46,7 +46,7 @@
 
 
 def main() -> int:
-    """Run the tool and return its exit code."""
+    """Run the tool with the process's arguments and return its exit code."""
     return int(application().run())
 
 
--- a/roadpass/cli/check.py
+++ b/roadpass/cli/check.py
@@ -1,4 +1,4 @@
-"""`roadpass check`: is a settings file or a fleet document valid?"""
+"""`roadpass check`: validates a settings file or fleet documents."""
 
 from pathlib import Path
 from typing import ClassVar
@@ -36,7 +36,7 @@
     help = "Prints every error with its line or JSON path." + EXIT_HELP
 
     def run_command(self) -> int:
-        """Check and list."""
+        """Print all problems; `EXIT_FINDING` if there are any."""
         problems = self._problems(self.argument("files"))
         if self.wants_json:
             self.line(as_json({"valid": not problems, "problems": problems}))
--- a/roadpass/cli/digest_key.py
+++ b/roadpass/cli/digest_key.py
@@ -1,4 +1,4 @@
-"""`roadpass digest-key`: the digest under which documents name a customer's key."""
+"""`roadpass digest-key`: prints the digest by which documents refer to a customer's key."""
 
 import secrets
 from typing import ClassVar
@@ -13,19 +13,19 @@
 
 
 class DigestKeyCommand(BaseCommand):
-    """Prints the digest of a key, so that no document holds the key itself."""
+    """Prints the digest of a key, so that documents need not contain the key itself."""
 
     name = "digest-key"
-    description = "The digest under which documents name a customer's key."
-    arguments: ClassVar[list[Argument]] = [argument("file", "File that holds the key alone.")]
+    description = "The digest by which documents refer to a customer's key."
+    arguments: ClassVar[list[Argument]] = [argument("file", "File that contains only the key.")]
     options: ClassVar[list[Option]] = [
         JSON_OPTION,
-        option("salt", None, "The documents' customer_salt; a new one without it.", flag=False),
+        option("salt", None, "The documents' customer_salt; by default a new one.", flag=False),
     ]
-    help = "The key is read from a file, since commands are seen by others." + EXIT_HELP
+    help = "The key is read from a file, because other users can see command lines." + EXIT_HELP
 
     def run_command(self) -> int:
-        """Digest the key."""
+        """Print the salt and the digest of the key."""
         salt = self.option("salt") or secrets.token_hex(SALT_BYTES)
         digest = key_digest(read_key(self.argument("file")), bytes.fromhex(salt)).hex()
         if self.wants_json:
--- a/roadpass/cli/explain.py
+++ b/roadpass/cli/explain.py
@@ -1,4 +1,4 @@
-"""`roadpass explain`: which targets would a request get, and why not the others?"""
+"""`roadpass explain`: shows which targets a request could use, and why not the others."""
 
 from typing import Any, ClassVar
 
@@ -24,10 +24,10 @@
 
 
 class ExplainCommand(BaseCommand):
-    """Shows the route of a request and what the selectors make of each target."""
+    """Shows the route of a request and how the selectors rank each target."""
 
     name = "explain"
-    description = "Which targets a request would get, now or at a time, and why not the others."
+    description = "Which targets a request could use at a given time, and why not the others."
     arguments: ClassVar[list[Argument]] = [
         argument("method", "HTTP method."),
         argument("path", "Path of the request."),
@@ -36,19 +36,19 @@
     options: ClassVar[list[Option]] = [
         JSON_OPTION,
         option("host", None, "Host of the request.", flag=False, default="localhost"),
-        option("at", None, "Instant in ISO 8601; now without it.", flag=False),
-        option("key-file", None, "File with the key that the request shows.", flag=False),
-        option("node", None, "Also show the states that this node knows.", flag=False),
+        option("at", None, "Instant in ISO 8601 format; by default now.", flag=False),
+        option("key-file", None, "File with the key that the request carries.", flag=False),
+        option("node", None, "Also show the target states known to this node.", flag=False),
     ]
-    help = "Uses the very function that the daemon routes by." + EXIT_HELP
+    help = "Uses the same routing function as the daemon." + EXIT_HELP
 
     def run_command(self) -> int:
-        """Explain."""
+        """Print a row for each target of the route; `EXIT_FINDING` if none can be used."""
         fleet = load_fleet(self.argument("documents"))
         path, method = self.argument("path"), self.argument("method").upper()
         route = fleet.find_route(self.option("host"), path, method)
         if route is None:
-            self.line(f"no route takes {method} {path}")
+            self.line(f"no route matches {method} {path}")
             return EXIT_FINDING
         refused = self._refusal(fleet, path, method)
         if refused:
@@ -69,14 +69,14 @@
         return EXIT_OK if groups else EXIT_FINDING
 
     def _refusal(self, fleet: Fleet, path: str, method: str) -> str:
-        """Return why the request is not let in by its key, empty if it is."""
+        """Return why the request's key is refused, empty if it is accepted."""
         file = self.option("key-file")
         key = read_key(file) if file else ""
         access = identify(fleet, self.option("host"), path, method, Credential(key))
         if access is None:
             return ""
         if access.refusal is not None:
-            return "the route needs a key, and the request shows none of anybody"
+            return "the route requires a key, and the request carries no key of any customer"
         if not self.wants_json:
             self.line(f"customer {access.customer.name if access.customer else '-'}")
         return ""
@@ -98,16 +98,19 @@
     groups: tuple[tuple[str, ...], ...],
     states: dict[str, str],
 ) -> dict[str, Any]:
-    place = next((n for n, group in enumerate(groups) if target.name in group), None)
-    speaking = [s.name for s in fleet.selectors if s.applies(route.service, route.labels)]
+    group_index = next((n for n, group in enumerate(groups) if target.name in group), None)
+    applicable = [s.name for s in fleet.selectors if s.applies(route.service, route.labels)]
     if target.leaving:
         use, why = "no", "it is leaving"
-    elif place is None:
-        use, why = "no", f"no selector in force takes its labels (of: {', '.join(speaking)})"
-    elif not speaking:
-        use, why = "first", "no selector speaks of this route"
+    elif group_index is None:
+        use, why = "no", f"no active selector matches its labels (of: {', '.join(applicable)})"
+    elif not applicable:
+        use, why = "first", "no selector applies to this route"
     else:
-        use, why = ("first" if place == 0 else f"spill {place}"), "a selector in force takes it"
+        use, why = (
+            ("first" if group_index == 0 else f"spill {group_index}"),
+            "an active selector matches it",
+        )
     return {
         "target": target.name,
         "use": use,
--- a/roadpass/cli/plan.py
+++ b/roadpass/cli/plan.py
@@ -1,4 +1,4 @@
-"""`roadpass plan`: what changes between two sets of documents?"""
+"""`roadpass plan`: shows what changes between two sets of documents."""
 
 from collections.abc import Mapping
 from typing import Any, ClassVar, NamedTuple
@@ -29,7 +29,7 @@
 
 
 def differences(old: Fleet, new: Fleet, instant: float) -> list[Difference]:
-    """Compare two fleets part by part, and the targets that each route gets at an instant."""
+    """Compare two fleets by section, and the targets that each route uses at an instant."""
     found: list[Difference] = []
     for what in ("services", "targets", "routes"):
         found += _compare(what, getattr(old, what), getattr(new, what))
@@ -61,7 +61,7 @@
 
 
 def _customers(old: Customers, new: Customers) -> list[Difference]:
-    """Compare customers, and how many keys each gains and loses; no digest is shown."""
+    """Compare customers and count the keys that each gains and loses; digests are not shown."""
     found = _compare("customers", old.by_name, new.by_name)
     for name in sorted({*old.by_name, *new.by_name}):
         before, after = old.keys_of(name), new.keys_of(name)
@@ -80,22 +80,22 @@
 
 
 class PlanCommand(BaseCommand):
-    """Shows what a change of documents would change, routes included."""
+    """Shows the effect of a change of documents, including the targets of routes."""
 
     name = "plan"
     description = "What changes between two sets of documents."
     arguments: ClassVar[list[Argument]] = [
-        argument("old", "File or folder in force."),
+        argument("old", "File or folder currently in force."),
         argument("new", "File or folder to publish."),
     ]
     options: ClassVar[list[Option]] = [
         JSON_OPTION,
-        option("at", None, "Instant in ISO 8601; now without it.", flag=False),
+        option("at", None, "Instant in ISO 8601 format; by default now.", flag=False),
     ]
     help = "Both sets must be valid." + EXIT_HELP
 
     def run_command(self) -> int:
-        """Compare."""
+        """Print the differences; the exit code is always `EXIT_OK`."""
         old = load_fleet([self.argument("old")])
         new = load_fleet([self.argument("new")])
         found = differences(old, new, parse_instant(self.option("at")).timestamp())
--- a/roadpass/cli/watch.py
+++ b/roadpass/cli/watch.py
@@ -23,32 +23,32 @@
 
 
 class StatusCommand(BaseCommand):
-    """Shows a node's state in short."""
+    """Shows a summary of a node's state."""
 
     name = "status"
     description = "The state of a node: ready, revision, members, work in flight."
     arguments: ClassVar[list[Argument]] = [NODE_ARGUMENT]
     options: ClassVar[list[Option]] = [JSON_OPTION]
-    help = "Exits with 1 while the node is not ready." + EXIT_HELP
+    help = "Exits with 1 while the node is not ready or is leaving." + EXIT_HELP
 
     def run_command(self) -> int:
-        """Read and show."""
+        """Print the status; `EXIT_FINDING` if the node is not ready or is leaving."""
         status = read_node(self.argument("node"), "/status")
         self.show(status, ["field", "value"], [[name, value] for name, value in status.items()])
         return EXIT_OK if status["ready"] and not status["leaving"] else EXIT_FINDING
 
 
 class TargetsCommand(BaseCommand):
-    """Shows what a node makes of the targets."""
+    """Shows the states of the targets as a node judges them."""
 
     name = "targets"
-    description = "Each target's state on a node, with the reason."
+    description = "The state of each target as a node judges it, with the reason."
     arguments: ClassVar[list[Argument]] = [NODE_ARGUMENT]
     options: ClassVar[list[Option]] = [JSON_OPTION]
-    help = "A node judges only the services that it sends to." + EXIT_HELP
+    help = "A node judges only the targets of services that it sends requests to." + EXIT_HELP
 
     def run_command(self) -> int:
-        """Read and show."""
+        """Print one row for each target."""
         rows = read_node(self.argument("node"), "/targets")
         heads = ["target", "service", "vm", "state", "failure_score", "slow_score", "reason"]
         self.show(rows, heads, [[row[head] for head in heads] for row in rows])
@@ -56,7 +56,7 @@
 
 
 class AuditCommand(BaseCommand):
-    """Shows the audit trail, and follows it."""
+    """Shows the audit trail and optionally follows it."""
 
     name = "audit"
     description = "The audit trail of a node."
@@ -66,10 +66,10 @@
         option("follow", "f", "Wait for new events until interrupted."),
         option("after", None, "Only events after this number.", flag=False, default="0"),
     ]
-    help = "One event a line; with --json one object a line." + EXIT_HELP
+    help = "One event per line; with --json one object per line." + EXIT_HELP
 
     def run_command(self) -> int:
-        """Read, show, and read again while following."""
+        """Print the events; with `--follow`, poll for new ones every `FOLLOW_S` seconds."""
         last = int(self.option("after"))
         while True:
             for event in read_node(self.argument("node"), f"/audit?after={last}"):
--- a/roadpass/jsonc.py
+++ b/roadpass/jsonc.py
@@ -1,4 +1,4 @@
-"""JSON with comments: reading, and checking against a schema with clear errors."""
+"""JSON with comments: parsing, and validation against a schema with readable errors."""
 
 import difflib
 import importlib.resources
@@ -21,7 +21,7 @@
         text: The source text.
 
     Returns:
-        The value, and the problems found (with line and column); the value is `None` if any.
+        The value and a list of problems with their positions; the value is `None` if there are any.
     """
     duplicates: list[str] = []
 
@@ -46,7 +46,7 @@
 def explain(schema_name: str, value: Any) -> list[str]:
     """List every violation of a schema, each with its JSON path and a hint where one is known.
 
-    The full checker is imported only here: the daemon needs it only once a document is bad.
+    The full validator is imported only here, since the daemon needs it only for invalid documents.
     """
     from jsonschema import Draft7Validator
 
@@ -56,15 +56,15 @@
 
 
 def load_schema(name: str) -> Any:
-    """Return the JSON Schema `name` as a value."""
+    """Load the JSON Schema `name` of the package `roadpass.schema`."""
     source = importlib.resources.files("roadpass.schema") / f"{name}.schema.json"
     return json.loads(source.read_text())
 
 
 def _duplicate(text: str, key: str) -> str:
-    """Say where a key stands that is there twice in one object; the last place is near it."""
+    """Describe a duplicate key with the line of its last occurrence, which is close to it."""
     line = text.count("\n", 0, text.rfind(f'"{key}"')) + 1
-    return f"line {line}: the key '{key}' stands twice in one object"
+    return f"line {line}: duplicate key '{key}' in one object"
 
 
 def _hint(error: Any) -> str:
--- a/roadpass/schema/__init__.py
+++ b/roadpass/schema/__init__.py
@@ -1,1 +1,1 @@
-"""JSON Schemas of settings, documents and messages."""
+"""JSON Schemas of settings, documents, manifests and messages."""
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""The `roadpass` tool on documents; against running nodes it is tested in `test_path`."""
+"""The `roadpass` tool on documents; `test_path` tests it against running nodes."""
 
 import json
 from pathlib import Path
@@ -13,7 +13,7 @@
 
 
 def run(command: str, arguments: str) -> tuple[int, str]:
-    """Return the exit code and all output of a command."""
+    """Return the exit code of a command, and its output and error output together."""
     tester = CommandTester(application().find(command))
     code = tester.execute(arguments)
     return code, tester.io.fetch_output() + tester.io.fetch_error()
@@ -26,7 +26,7 @@
 
 
 def test_check_lists_every_error(tmp_path: Path) -> None:
-    """With paths, and as JSON."""
+    """Errors are listed with their JSON paths, and as JSON."""
     file = tmp_path / "bad.jsonc"
     file.write_text('{"services": {"s": {}}, "routs": {}}')
     code, text = run("check", str(file))
@@ -42,7 +42,7 @@
     [("2026-12-02T12:00:00+05:30", "spill 1"), ("2026-12-02T22:00:00+05:30", "first")],
 )
 def test_explain_follows_the_clock(at: str, use: str) -> None:
-    """The spare target is a fallback in desk hours and equal at night."""
+    """The spare target is a fallback during office hours and an equal choice at night."""
     code, text = run("explain", f"POST /circulation/issue {GRANTHSETU} --at {at} --json")
     assert code == 0
     rows = {row["target"]: row for row in json.loads(text)["targets"]}
@@ -50,13 +50,13 @@
 
 
 def test_explain_without_route_or_documents(tmp_path: Path) -> None:
-    """The answer is no, or the input is bad."""
+    """Exit code 1 without a route, 2 without documents."""
     assert run("explain", f"GET /nothing {GRANTHSETU}")[0] == 1
     assert run("explain", f"GET /opac {tmp_path}")[0] == 2
 
 
 def test_plan(tmp_path: Path) -> None:
-    """A moved label shows in the target and in what routes get."""
+    """A changed label shows in the target and in the targets of routes."""
     for path in (EXAMPLES / "granthsetu").glob("*.jsonc"):
         text = path.read_text()
         (tmp_path / path.name).write_text(text.replace('"tier": "spare"', '"tier": "main"'))
@@ -67,8 +67,8 @@
     assert "route gets" in text
 
 
-def test_node_that_does_not_answer_is_an_error() -> None:
-    """Exit code 2 and a sentence."""
+def test_unreachable_node_is_an_error() -> None:
+    """Exit code 2 and a message that names the node."""
     code, text = run("status", "127.0.0.1:1")
     assert code == 2
     assert "No answer from 127.0.0.1:1" in text
@@ -78,7 +78,7 @@
 
 
 def with_customers(folder: Path, *names: str, key: str = SECRET) -> str:
-    """Write a small fleet with customers, the first of which has the key; return its path."""
+    """Write a small fleet with customers, the first of which owns the key; return its path."""
     folder.mkdir(exist_ok=True)
     (folder / "key").write_text(f"{key}\n")
     salt = "00" * 16
@@ -104,8 +104,8 @@
     return str(file)
 
 
-def test_explain_tells_whose_key_it_is(tmp_path: Path) -> None:
-    """And that a route needs one; a key is read from a file and shown nowhere."""
+def test_explain_names_the_customer_of_a_key(tmp_path: Path) -> None:
+    """It also reports a missing key; the key is read from a file and never printed."""
     fleet = with_customers(tmp_path, "library")
     code, text = run("explain", f"GET /r {fleet} --key-file {tmp_path / 'key'}")
     assert (code, "customer library" in text, SECRET in text) == (0, True, False)
@@ -117,7 +117,7 @@
 
 
 def test_plan_counts_changed_keys(tmp_path: Path) -> None:
-    """Whose they are and how many, never which."""
+    """The customer and the number of keys are shown, but no key or digest."""
     old = with_customers(tmp_path / "old", "library", "school")
     new = with_customers(tmp_path / "new", "library", "museum", key="another")
     code, text = run("plan", f"{old} {new} --json")
@@ -130,7 +130,7 @@
 
 
 def test_check_of_customers(tmp_path: Path) -> None:
-    """Two with one key, digests without a salt, salts that differ, figures below zero."""
+    """Errors: a key shared by two, digests without salt, different salts, negative rates."""
     file = Path(with_customers(tmp_path, "library", "school"))
     good = json.loads(file.read_text())
     assert run("check", str(file)) == (0, "valid\n")
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -1,4 +1,4 @@
-"""`roadpass trace` on logs of several nodes."""
+"""`roadpass trace` with the logs of several nodes."""
 
 import json
 from pathlib import Path
@@ -10,21 +10,21 @@
 
 
 def run(*arguments: str) -> tuple[int, str, str]:
-    """Return the exit code, the output and the errors of the command."""
+    """Return the exit code, the output and the error output of the command."""
     tester = CommandTester(application().find("trace"))
     code = tester.execute(" ".join(arguments))
     return code, tester.io.fetch_output(), tester.io.fetch_error()
 
 
 def line(at: float, what: str, **fields: object) -> str:
-    """Return a line as a node writes it."""
+    """Return a log line in the format of a node."""
     head = {"at": at, "mono": at - 90, "level": "info", "part": "dispatch", "what": what}
     return json.dumps({**head, **fields})
 
 
 @pytest.fixture
 def files(tmp_path: Path) -> list[str]:
-    """Logs of three nodes, with other requests and lines that are no JSON."""
+    """Logs of three nodes, with other requests and lines that are not JSON log lines."""
     logs = {
         "one.log": [
             line(100.010, "send", request="r-1", attempt="a-1", load_age_s=0.25, revision="7.x"),
@@ -50,7 +50,10 @@
 
 
 def test_one_request_over_all_nodes(files: list[str]) -> None:
-    """Its lines and its attempts' in order of time, beliefs apart, markup and controls inert."""
+    """Lines of the request and its attempts, sorted by time.
+
+    Ages and revisions are in a column of their own; markup and control characters have no effect.
+    """
     code, output, errors = run(*files, "--request r-1")
     assert (code, errors) == (0, "")
     assert output.splitlines() == [
@@ -61,12 +64,12 @@
         + "load_age_s=0.25 revision=7.x",
         '12  node-2     dispatch  serve            attempt=a-1 note="two <info>words</info>"',
         '30  three.log  dispatch  "\\u001b[2Jdone"  attempt=["no", "id"]',
-        "skipped 6 lines that are no JSON log lines",
+        "skipped 6 lines that are not JSON log lines",
     ]
 
 
 def test_as_json(files: list[str]) -> None:
-    """Programs get the lines whole."""
+    """The JSON output contains the complete lines."""
     code, output, _ = run(*files, "--request r-2 --json")
     value = json.loads(output)
     assert code == 0
@@ -78,16 +81,16 @@
 
 
 def test_no_line_found(files: list[str]) -> None:
-    """The answer is no, with the remark on lines that were skipped."""
+    """Exit code 1, an error and the number of skipped lines."""
     assert run(*files, "--request r-3") == (
         1,
-        "skipped 6 lines that are no JSON log lines\n",
-        "No line tells of request r-3.\n",
+        "skipped 6 lines that are not JSON log lines\n",
+        "No log line found for request r-3.\n",
     )
 
 
 def test_unreadable_file(files: list[str], tmp_path: Path) -> None:
-    """Named, and nothing is shown."""
+    """The error names the file, and no lines are shown."""
     missing = tmp_path / "missing.log"
     code, output, errors = run(*files, str(missing), "--request r-1")
     assert (code, output) == (1, "")
@@ -96,7 +99,7 @@
 
 
 def test_no_request_named(files: list[str]) -> None:
-    """It is bad input."""
+    """Exit code 2 and an error that names the option."""
     code, _, errors = run(*files)
     assert code == 2
     assert "--request" in errors
