--- a/roadpass/balance.py
+++ b/roadpass/balance.py
@@ -9,12 +9,14 @@
 SPILL_UTILIZATION = 1.0
 DRAWS = 4
 COMPARED = 8
-"""Targets that `Picker.pick_best` compares; the best of eight is about in the best eighth."""
+"""Targets that `Picker.pick_best` compares; on average the best of eight is in the best
+eighth of all."""
 EXPLORE_SHARE = 0.02
-"""Share of requests that ignore distance, so that an ingress also knows how far targets perform."""
+"""Share of requests that ignore distance, so that an ingress also knows how distant
+targets perform."""
 FAILURE_RISK_WEIGHT = 10.0
 """How many times longer a request is assumed to take at a target that is certainly failing: about
-ten times the typical duration passes until its answer is no longer expected."""
+ten times the typical latency passes until its answer is no longer expected."""
 TIER_PENALTY_MS = (0.0, 3.0, 20.0)
 """Round trip within the data hall, to others of the region, and to other regions."""
 
@@ -40,7 +42,7 @@
     """A target that may be picked.
 
     Args:
-        name: Of the target.
+        name: Name of the target.
         tier: 0 same data hall, 1 same region, 2 elsewhere.
         weight: Share of traffic relative to a target in full service, 0 for none.
         trial: Whether it is on trial, so that only repeatable requests may go there.
--- a/roadpass/call_log.py
+++ b/roadpass/call_log.py
@@ -1,4 +1,4 @@
-"""Failed requests at the ingress of a node that its own target may have sent.
+"""Failed requests at the ingress of a node that the target on the same VM may have sent.
 
 A target calls other services through the node on its VM, and often fails a request because such a
 call failed. This failure must not count against the target. Calls look like any other request, but
@@ -11,8 +11,9 @@
 from roadpass.outcome import SERVER_ERROR, Answered, Outcome
 
 JUST_BEFORE_S = 0.05
-"""Most seconds from the failure of a call to that of the request that made it. The answer travels
-within one VM and the target does some work, which takes milliseconds, or longer on a busy VM."""
+"""Maximum seconds from the failure of a call to that of the request that made it. The answer
+travels within one VM and the target does some work, which takes milliseconds, or longer on a busy
+VM."""
 DEADLINE_SLACK_S = 0.02
 """Seconds by which the deadline of a call may appear later than that of its request: each is sent
 as the milliseconds left, and read at a different moment."""
@@ -41,12 +42,12 @@
                 self._failures.append(_FailedRequest(began, ended, deadline))
 
     def explains(self, began: float, ended: float, deadline: float) -> bool:
-        """Tell whether a request may have failed because a call that it made failed.
+        """Return whether a request may have failed because a call that it made failed.
 
         Args:
             began: When the target received the request, in clock seconds.
             ended: When the request failed, in clock seconds.
-            deadline: Of the request, in clock seconds.
+            deadline: Deadline of the request, in clock seconds.
         """
         return any(
             call.began >= began
--- a/roadpass/choice.py
+++ b/roadpass/choice.py
@@ -43,7 +43,7 @@
         """Pick the target that a request probes next, `None` if there is none left.
 
         Args:
-            state: Of the request.
+            state: State of the request.
             has_repeat: Whether the retry budget allows another attempt after it.
         """
         view = self._view
@@ -72,9 +72,9 @@
 
         Args:
             now: Clock seconds.
-            state: Of the request.
-            target: Which replied.
-            reply: Its reply.
+            state: State of the request.
+            target: The target that replied.
+            reply: Reply of the target.
             last: Whether a failure of the attempt would have lost the request.
         """
         match reply.outcome:
@@ -91,7 +91,7 @@
         self, now: float, state: RequestState, picker: Picker, load_of: LoadOf, has_repeat: bool
     ) -> str | None:
         """Pick a near target, a far one that may be worth the transfer, or the best offer."""
-        if not picker.near:  # every target costs the transfer, so it does not count
+        if not picker.near:  # all targets are far, so the transfer cannot be saved
             state.far_cost = 0.0
         self._apply_cached_offers(state, picker, now)
         unreachable = set() if state.last_resort else self._loads.unreachable(now)
@@ -112,7 +112,7 @@
         return state.accept_best(has_repeat)
 
     def _apply_cached_offers(self, state: RequestState, picker: Picker, now: float) -> None:
-        """Add the recent replies of full or doubtful targets to other requests as offers."""
+        """Add as offers what targets without a free slot or likely to fail replied to others."""
         if state.accepts_best:
             return
         for name, cached in self._loads.cached_offers(now):
--- a/roadpass/crash_guard.py
+++ b/roadpass/crash_guard.py
@@ -21,7 +21,7 @@
     """Tracks the requests at a target, and records those present at a crash; thread-safe.
 
     Args:
-        target: Its name.
+        target: Name of the target.
         quarantine: Crash records of this node.
         gone: Checks whether the target's process has ended.
     """
@@ -81,7 +81,7 @@
         """Check whether a target that lost a request has ended; if so, record the crash.
 
         Args:
-            attempt: Which was lost.
+            attempt: The attempt that was lost.
             leaving: Whether the target is meant to end, so that this is no crash.
 
         Returns:
--- a/roadpass/dispatch.py
+++ b/roadpass/dispatch.py
@@ -47,8 +47,8 @@
 SPENT_TTL_S = 0.3
 """Seconds for which the repeats of a service are assumed to be spent after that. A request sent in
 this time counts as lost if it fails, so it goes to targets of lower risk, and one that needs a
-repeat tries only one target. In this time the allowances of a
-service with about a dozen targets grow by a few repeats."""
+repeat tries only one target. In this time the allowances of a service with about a dozen targets
+grow by a few repeats."""
 _FINAL_REASONS = frozenset((Reason.EXPIRED, Reason.CANCELLED, Reason.QUARANTINED))
 """Refusals that every other target would repeat."""
 
@@ -58,14 +58,14 @@
 
     Args:
         view: Configuration and health state to route by.
-        incarnation: Of this process, part of attempt ids.
+        incarnation: Incarnation of this process, part of attempt ids.
         sidecar: The one of this VM.
         peers: Streams to the other sidecars.
         pause: Detects pauses of this process.
         behind: Called with a VM and its revision when that is newer than the local one.
         metrics: Counts bytes sent to other data halls, `None` to count none.
         quotas: Limits of customers at this node, `None` for new ones.
-        seed: Of the random choice among targets, `None` for a random one.
+        seed: Seed of the random choice among targets, `None` for a random seed.
     """
 
     def __init__(
@@ -191,7 +191,7 @@
             if clock.now() >= self._view.shutdown.last_start(state.typical_or_assumed_ms):
                 return state.final_outcome(NotRun(Reason.LEAVING, RETRY_SOON_MS))
             quarantined_s = self._quarantine.quarantined_s(clock.now(), state.request.fingerprint)
-            if quarantined_s > 0.0:  # learnt while it waited; the next sidecar may not know
+            if quarantined_s > 0.0:  # crashes learnt of during the wait; the sidecar may not know
                 return state.final_outcome(NotRun(Reason.QUARANTINED, int(quarantined_s * 1000.0)))
             target = self._chooser.pick(state, has_repeat=self._has_repeat(state))
             if target is None and not state.offers and state.start_last_resort():
@@ -235,7 +235,7 @@
         return _may_retry(outcome, state.route) and state.below_attempt_limit and budget.take()
 
     def _has_repeat(self, state: RequestState) -> bool:
-        """Tell whether to plan for another attempt.
+        """Return whether to plan for another attempt.
 
         While the node leaves, no time is kept back for one: each attempt may run to its end.
         """
@@ -244,7 +244,7 @@
         return not self._spent_recently(state.service)
 
     def _repeats_spent(self, state: RequestState, *, all_probed: bool = False) -> bool:
-        """Tell whether enough targets had no repeat left for a request; if so, remember it."""
+        """Return whether enough targets had no repeat left for a request; if so, remember it."""
         replies = sum(reason is Reason.REPEATS_SPENT for reason in state.refused.values())
         if replies < (1 if all_probed or self._spent_recently(state.service) else SPENT_REPLIES):
             return False
@@ -252,7 +252,7 @@
         return True
 
     def _spent_recently(self, service: Service) -> bool:
-        """Tell whether targets of a service replied a moment ago that their repeats are spent."""
+        """Return whether targets of a service replied a moment ago that their repeats are spent."""
         return clock.now() < self._spent_until.get(service.name, -math.inf)
 
     def _attempt(self, state: RequestState, target: Target) -> Outcome:
@@ -275,7 +275,7 @@
         self, state: RequestState, attempt_id: str, target: Target, now: float
     ) -> Attempt:
         slow_ms = self._view.service(state.service.name).slow_ms.get(target.name, 0.0)
-        if slow_ms > 0.0:  # the other targets may have a mix of shorter requests
+        if slow_ms > 0.0:  # the other targets may get shorter requests than this one
             slow_ms = max(slow_ms, state.slow_ms)
         return state.attempt(
             attempt_id,
--- a/roadpass/ingress.py
+++ b/roadpass/ingress.py
@@ -43,7 +43,7 @@
     """Owns the callers' listening socket, and a thread for each of their connections.
 
     Args:
-        settings: Of this node.
+        settings: Settings of this node.
         dispatcher: Processes the requests.
         view: Holds the limits, and whether the node is leaving.
         metrics: Counts outcomes.
--- a/roadpass/kind.py
+++ b/roadpass/kind.py
@@ -70,9 +70,9 @@
         """Learn from the end of an attempt.
 
         Args:
-            route: Of the request.
-            outcome: Of the attempt.
-            body_bytes: Of the request.
+            route: Route of the request.
+            outcome: Outcome of the attempt.
+            body_bytes: Size of the request body.
             took_ms: Milliseconds that the attempt took.
         """
         stats = self.of(route)
--- a/roadpass/limit.py
+++ b/roadpass/limit.py
@@ -45,7 +45,7 @@
         """Adjust the limit after one finished request.
 
         Args:
-            now: Seconds.
+            now: Clock seconds.
             service_ms: Milliseconds since the target received the request.
             slow_ms: Milliseconds above which a request of its kind is slow, 0 if unknown. Being
                 specific to the kind, it stays right in a mix of short and long requests.
--- a/roadpass/load.py
+++ b/roadpass/load.py
@@ -24,9 +24,10 @@
 OFFER_TTL_S = 0.06
 FAR_OFFER_TTL_MIN_S = 0.15
 FAR_OFFER_TTL_MAX_S = 0.4
-"""Seconds for which the reply of a full or doubtful target is reused for other requests: probing it
-for every request costs time if it is near, and bytes if it is far. The reply of a far target is
-reused for as long as the wait that it announced, within the latter two limits."""
+"""Seconds for which the reply of a target that is full or likely to fail is reused for other
+requests: probing it for every request costs time if it is near, and bytes if it is far. The reply
+of a far target is reused for as long as the wait that it announced, within the latter two
+limits."""
 DEFAULT_LIMIT = 10
 FULL = 1.0
 
@@ -72,8 +73,8 @@
         """Return the estimated load of a target.
 
         Args:
-            target: Its name.
-            now: Seconds.
+            target: Name of the target.
+            now: Clock seconds.
         """
         entry = self._entries.get(target)
         if entry is None:
@@ -102,7 +103,7 @@
 
         Args:
             target: Where it was sent.
-            latency_ms: Its service time, if it had an answer.
+            latency_ms: Service time of the attempt, if it was answered.
             overdue: Whether `mark_overdue` was called for it.
         """
         with self._lock:
@@ -158,11 +159,11 @@
     def cache_offer(
         self, now: float, target: str, failure_risk: float, wait_ms: float, *, far: bool, last: bool
     ) -> None:
-        """Store the reply of a full or doubtful target, so that other requests can use it.
+        """Store the reply of a target that is full or likely to fail, for use by other requests.
 
         Args:
             now: Clock seconds.
-            target: Its name.
+            target: Name of the target.
             failure_risk: Probability that the target is failing.
             wait_ms: Milliseconds until it has a free slot.
             far: Whether it is in another data hall.
--- a/roadpass/offer.py
+++ b/roadpass/offer.py
@@ -53,7 +53,7 @@
         return offer.failure_risk * self.failure + late + self._transfer(offer)
 
     def accepts(self, offer: Offer) -> bool:
-        """Tell whether an offer costs less than a refusal and its wait is not too long."""
+        """Return whether an offer costs less than a refusal and its wait is not too long."""
         return offer.wait_ms <= self.most_wait_ms and self.of(offer) < REFUSED_LOSS
 
     def _transfer(self, offer: Offer) -> float:
--- a/roadpass/quarantine.py
+++ b/roadpass/quarantine.py
@@ -50,7 +50,7 @@
 """Records in one datagram, under 90 bytes each: they fit in addition to members and hints."""
 QUARANTINED_ROWS = 2
 """How many of these may be quarantined records that were sent often enough before. From them a node
-that has just started learns what is in quarantine."""
+that has just started learns which requests are in quarantine."""
 RENEWAL_MIN_S = 1.0
 """Seconds by which a later crash must extend a quarantine to be sent to other nodes, which need not
 agree to the second."""
@@ -69,7 +69,7 @@
     last_at: float
 
     def differs(self, before: "_Summary") -> bool:
-        """Tell whether other nodes should be sent the change."""
+        """Return whether other nodes should be sent the change."""
         return self.crashes != before.crashes or self.last_at > before.last_at + RENEWAL_MIN_S
 
 
@@ -104,7 +104,7 @@
         return max(0.0, self.last_at + QUARANTINE_S - now) if self.count >= MIN_CRASHES else 0.0
 
     def expired(self, now: float) -> bool:
-        """Tell whether the record is no longer needed."""
+        """Return whether the record is no longer needed."""
         if self.count:
             return now - self.last_at >= RECORD_TTL_S
         return now - max(self.last_at, self.answered_at) >= CLEARED_TTL_S
@@ -143,8 +143,8 @@
         """Return for how many more seconds a request is refused, 0 if it is not.
 
         Args:
-            now: Seconds.
-            fingerprint: Of the request, empty if unknown.
+            now: Clock seconds.
+            fingerprint: Fingerprint of the request, empty if unknown.
         """
         if fingerprint not in self._records:
             return 0.0
@@ -153,7 +153,7 @@
             return record.quarantined_s(now) if record is not None else 0.0
 
     def is_suspect(self, now: float, fingerprint: str) -> bool:
-        """Tell whether a request was present at a crash, and was not answered since."""
+        """Return whether a request was present at a crash, and was not answered since."""
         if fingerprint not in self._records:
             return False
         with self._lock:
@@ -164,8 +164,8 @@
         """Record that a target crashed while it processed a request.
 
         Args:
-            now: Seconds.
-            fingerprint: Of the request; an empty one is not recorded.
+            now: Clock seconds.
+            fingerprint: Fingerprint of the request; an empty one is not recorded.
             crash: Name of the crash, the same for all requests that the target had.
         """
         if not fingerprint:
@@ -224,7 +224,7 @@
         """Merge the record of another node into the local one.
 
         Args:
-            now: Seconds.
+            now: Clock seconds.
             row: As sent, with its types checked.
         """
         fingerprint, answer_age_s, crashes = row
--- a/roadpass/request.py
+++ b/roadpass/request.py
@@ -85,13 +85,13 @@
     """An attempt in flight.
 
     Args:
-        service: Of its route.
-        target: To which it was sent.
+        service: Service of its route.
+        target: Target to which it was sent.
         since: Clock seconds at which it was sent.
-        vm: Of the target.
-        usual_ms: Typical duration on its route in milliseconds, 0 if unknown.
+        vm: VM of the target.
+        usual_ms: Typical latency on its route in milliseconds, 0 if unknown.
         until: Clock seconds at which it times out.
-        deadline: Clock seconds at which its request times out.
+        deadline: Clock seconds of the request's deadline.
         times_overdue: How often it was found to be overdue.
     """
 
@@ -110,10 +110,10 @@
 
         Args:
             attempt: The attempt.
-            service: Of its route.
-            vm: Of the target.
+            service: Service of its route.
+            vm: VM of the target.
             now: Clock seconds.
-            deadline: Of its request, in clock seconds.
+            deadline: Deadline of its request, in clock seconds.
         """
         until = now + attempt.remaining_ms / 1000.0
         return cls(service, attempt.target, now, vm, attempt.usual_ms, until, deadline)
@@ -123,13 +123,13 @@
     """The progress of a current request.
 
     Args:
-        request: The caller's id of it.
+        request: The caller's id of the request.
         since: Clock seconds at which it was received.
         arrivals: Earlier attempts that reached a target.
         attempt: Id of the attempt in flight, empty while a target is being chosen.
         attempt_since: Clock seconds at which that attempt was sent.
-        target: To which it was sent.
-        vm: Of the target.
+        target: Target to which it was sent.
+        vm: VM of the target.
     """
 
     request: str
--- a/roadpass/retry.py
+++ b/roadpass/retry.py
@@ -4,7 +4,7 @@
 from collections import deque
 
 BURST = 10.0
-"""Default of the largest burst of retries: about what one node handles in a moment."""
+"""Default of the largest burst of retries: about as many as one node handles at a time."""
 WINDOW_S = 10.0
 """Default length in seconds of the window in which repeats are counted."""
 ROUNDING = 1e-9
@@ -27,7 +27,7 @@
         self._tokens = burst if math.isinf(burst) else 1.0
 
     def has_settings(self, ratio: float, burst: float) -> bool:
-        """Tell whether the budget has these settings."""
+        """Return whether the budget has these settings."""
         return (ratio, burst) == (self._ratio, self._burst)
 
     @property
@@ -78,7 +78,7 @@
         self._window_s = window_s
 
     def has_repeat_left(self, now: float) -> bool:
-        """Tell whether a repeat may arrive now.
+        """Return whether a repeat may arrive now.
 
         Args:
             now: Clock seconds.
--- a/roadpass/selector.py
+++ b/roadpass/selector.py
@@ -31,7 +31,7 @@
         )
 
     def contains(self, instant: datetime) -> bool:
-        """Tell whether an instant (with time zone) lies in the window; its end is excluded."""
+        """Return whether an instant (with time zone) lies in the window; its end is excluded."""
         local = instant.astimezone(_zone(self.zone))
         minute = local.hour * 60 + local.minute
         today = local.weekday()
@@ -65,11 +65,11 @@
         )
 
     def applies(self, service: str, labels: Labels) -> bool:
-        """Tell whether the selector applies to a route, regardless of its time windows."""
+        """Return whether the selector applies to a route, regardless of its time windows."""
         return self.service in (None, service) and matches(self.routes, labels)
 
     def active(self, instant: datetime) -> bool:
-        """Tell whether an instant (with time zone) lies in one of its windows, or it has none."""
+        """Return whether an instant (with time zone) lies in one of its windows, or it has none."""
         return not self.windows or any(window.contains(instant) for window in self.windows)
 
 
@@ -128,7 +128,7 @@
 
 
 def known_zone(name: str) -> bool:
-    """Tell whether a name is an IANA time zone."""
+    """Return whether a name is an IANA time zone."""
     try:
         _zone(name)
     except (KeyError, ValueError, OSError):
--- a/roadpass/trip.py
+++ b/roadpass/trip.py
@@ -20,8 +20,8 @@
 ahead in a queue. Probes to other data halls also cost bytes, and rarely find a free target when the
 fleet is overloaded."""
 LAST_MAX_RISK = 0.04
-"""Highest failure risk of a target that a request accepts at once if a failure would lose the
-request. A target that has just answered has about this risk."""
+"""Highest failure risk of a target that a request accepts without comparing offers, if a failure
+would lose the request. A target that has just answered has about this risk."""
 REPEATABLE_MAX_RISK = 0.4
 """The same limit for a request that would be repeated: a failure costs only a repeat, and the
 result improves the estimate of the target's health."""
@@ -42,11 +42,12 @@
 """Share of its time budget after which a request that found no free target is given up. Few
 requests that wait longer are answered in time; the others would only wait longer for a refusal."""
 LONG_SPREADS = 0.7
-"""Spreads above the typical duration within which three of four requests of a route finish. A
+"""Spreads above the typical latency within which three of four requests of a route finish. A
 request waits only as long as this much time is left of its objective. Reserving time for nearly all
-requests would leave slow routes hardly any wait, and slots unused that they could have had."""
+requests would leave slow routes hardly any time to wait, and slots unused that they could have
+had."""
 TAIL_SPREADS = 1.65
-"""Spreads above the typical duration within which 95 of 100 requests of a route finish."""
+"""Spreads above the typical latency within which 95 of 100 requests of a route finish."""
 MIN_ATTEMPT_S = 0.005
 """Seconds; no attempt is made with less time left."""
 
@@ -62,7 +63,7 @@
         started: Clock seconds at which it was received.
         deadline: Clock seconds by which it must have an outcome.
         key: Idempotency key as sidecars know it, empty for none.
-        typical_ms: Typical duration on this route in milliseconds, 0 if unknown.
+        typical_ms: Typical latency on this route in milliseconds, 0 if unknown.
         long_ms: Milliseconds within which three of four requests of the route finish, 0 if unknown.
         slow_ms: Milliseconds above which a request of the route counts as slow, 0 if unknown.
         lost_ms: Milliseconds after which a lost attempt of the route is usually detected.
@@ -80,7 +81,7 @@
         last_resort: Whether all targets have refused it and those that might still accept it are
             probed once more.
         may_have_run: Latest outcome that does not prove that the request did not run.
-        attempt_id: Of the attempt that was sent last, empty before the first.
+        attempt_id: Id of the attempt that was sent last, empty before the first.
     """
 
     request: Request
@@ -123,7 +124,7 @@
             route: The route that matched.
             service: The service it goes to.
             started: Clock seconds at which it was received.
-            stats: Of the route.
+            stats: Statistics of the route.
             objective_factor: Multiple of the latency objective that it may take.
         """
         deadline = started + (route.timeout_ms or service.timeout_ms) / 1000.0
@@ -192,7 +193,7 @@
         """Return the longest wait for a slot that it accepts, in milliseconds.
 
         After a longer wait its answer is often late. A queue that may grow to the objective minus
-        the typical duration makes half of its requests late, and serves no more than a short one.
+        the typical latency makes half of its requests late, and serves no more than a short one.
 
         A request whose attempt failed after it reached a target is late in any case, so only its
         deadline bounds the wait.
@@ -283,9 +284,9 @@
 
         Args:
             attempt_id: Unique in the fleet.
-            target: To which it goes.
+            target: Target to which it goes.
             now: Clock seconds.
-            revision: Of the configuration that it is routed by.
+            revision: Revision of the configuration that it is routed by.
             slow_ms: Above which an answer of the target counts as slow, zero if unknown.
             has_repeat: Whether the retry budget allows a repeat after it.
         """
@@ -352,7 +353,7 @@
         return REPEATABLE_FAILURE_COST if self.repeat_meets_objective else LATE_LOSS
 
     def is_last_attempt(self, has_repeat: bool) -> bool:
-        """Tell whether a failure of the next attempt loses the request."""
+        """Return whether a failure of the next attempt loses the request."""
         return not (self.route.repeatable and self.arrivals == 0 and has_repeat)
 
     def _attempt_s(self, now: float, has_repeat: bool) -> float:
--- a/roadpass/trip_log.py
+++ b/roadpass/trip_log.py
@@ -15,11 +15,11 @@
     """Log the outcome of one attempt.
 
     Args:
-        state: Of the request.
-        target: To which the attempt went.
+        state: State of the request.
+        target: Target to which the attempt went.
         attempt: As it was sent.
-        reply: Its outcome, with the load of its target.
-        started: Clock seconds.
+        reply: Outcome of the attempt, with the load of its target.
+        started: Clock seconds at which the attempt began.
         used: Estimated share of the target's slots in use.
     """
     decided(
@@ -46,7 +46,7 @@
     Args:
         request: As the caller sent it.
         outcome: The refusal, with its reason and the time to retry.
-        revision: Of the configuration in force, 0 for none.
+        revision: Revision of the configuration in force, 0 for none.
     """
     decided(
         "dispatch",
@@ -66,8 +66,8 @@
     """Log the outcome that the caller gets.
 
     Args:
-        state: Of the request.
-        outcome: Of the request.
+        state: State of the request.
+        outcome: Outcome of the request.
         started: Clock seconds at which the request was received.
         has_repeat: Whether the retry budget would have allowed another attempt.
     """
--- a/roadpass/unanswered.py
+++ b/roadpass/unanswered.py
@@ -43,7 +43,7 @@
         return entry.failures if entry else 0
 
     def avoids(self, peer: Hashable, now: float) -> bool:
-        """Tell whether a peer should not be contacted now."""
+        """Return whether a peer should not be contacted now."""
         entry = self._failures.get(peer)
         return entry is not None and now < entry.until
 
--- a/tests/test_crashed_target.py
+++ b/tests/test_crashed_target.py
@@ -162,7 +162,7 @@
 
 
 def suspect(bench: Bench, fingerprint: str) -> bool:
-    """Tell whether a request is suspected of crashing targets."""
+    """Return whether a request is suspected of crashing targets."""
     return bench.sidecar.quarantine.is_suspect(clock.now(), fingerprint)
 
 
--- a/tests/test_crashing.py
+++ b/tests/test_crashing.py
@@ -5,7 +5,9 @@
 half of the other requests for that service were not served meanwhile. The caller got "unknown" and
 sent the request again, with a new id and at another VM; a repeatable one was also repeated by its
 ingress. Nodes kept nothing about a request beyond one such attempt, so each ingress and sidecar
-treated it as new.
+treated it as new. The simulated load shows this: the same path and body is in flight at every
+crash, with each id once or twice, and without quarantine it reaches targets for as long as it is
+sent.
 """
 
 import functools
@@ -40,7 +42,7 @@
     """At any VM: three targets crash, and those that it reaches before all nodes know of it."""
     for seed in SEEDS:
         crowd = simulate(seed)
-        assert len(crowd.crashed[CRASHING_REQUEST]) >= 3, "the load shows nothing"
+        assert len(crowd.crashed[CRASHING_REQUEST]) >= 3, "the load did not crash three targets"
         assert reached_after(crowd) <= MAX_AFTER
 
 
@@ -66,7 +68,7 @@
     """Neither is mistaken for the request that crashes targets."""
     for seed in SEEDS:
         crowd = simulate(seed, popular=POPULAR, other=OTHER_BODY)
-        assert len(crowd.crashed[CRASHING_REQUEST]) >= 3, "the load shows nothing"
+        assert len(crowd.crashed[CRASHING_REQUEST]) >= 3, "the load did not crash three targets"
         assert reached_after(crowd) <= MAX_AFTER
         for kind in ("popular", "other"):
             assert served_share(crowd, kind) >= 0.97, (seed, kind)
@@ -125,5 +127,5 @@
     """Each node in turn loses all its records once, while the request keeps coming."""
     for seed in SEEDS:
         crowd = Crowd.run(crashing(seed)._replace(forgets=(3.5, 9.0)), seed)
-        assert len(crowd.crashed[CRASHING_REQUEST]) >= 3, "the load shows nothing"
+        assert len(crowd.crashed[CRASHING_REQUEST]) >= 3, "the load did not crash three targets"
         assert reached_after(crowd) <= MAX_AFTER
--- a/tests/test_kind.py
+++ b/tests/test_kind.py
@@ -11,7 +11,7 @@
 
 
 def test_duration_and_size_are_learnt_from_answers_only() -> None:
-    """A failure only shows when a loss is detected."""
+    """A failure only updates the time until a loss is detected."""
     stats = RouteStatsTable()
     learn(stats, "r", Answered(500, [], b"x" * 9000, 5.0), took_ms=80.0)
     assert not stats.of("r").duration.known
--- a/tests/test_trip.py
+++ b/tests/test_trip.py
@@ -38,7 +38,7 @@
 
 
 def test_a_request_accepts_the_best_offer_when_no_target_meets_its_limits() -> None:
-    """Even if it must not be repeated: a doubtful target refuses it without running it."""
+    """Even if it must not be repeated: a target likely to fail refuses it without running it."""
     doubtful = [NotRun(Reason.DOUBTFUL)] * 4
     sidecar = FakeSidecar([*doubtful, Answered(200, [], b"ok")])
     outcome = dispatcher(sidecar).dispatch(request("POST")).outcome
@@ -113,8 +113,8 @@
     assert len(sidecar.attempts) == 4
 
 
-def test_a_repeatable_request_accepts_doubtful_targets_first() -> None:
-    """Its first attempt accepts a doubtful target; its last one only a target of low risk."""
+def test_a_repeatable_request_accepts_targets_of_higher_risk_first() -> None:
+    """Its first attempt accepts a target likely to fail; its last one only one of low risk."""
     sidecar = FakeSidecar([Unknown(Reason.TARGET_LOST), Answered(200, [], b"ok")])
     one = dispatcher(sidecar)
     one._budget(one._view.fleet.services["s"]).on_first_attempt()
@@ -146,18 +146,18 @@
 
 def test_unreachable_targets_are_not_probed_until_no_other_is_left() -> None:
     """Each such probe costs a tenth of a second."""
-    cut_off: list[Outcome] = [NotRun(Reason.UNREACHABLE)] * 3
-    sidecar = FakeSidecar([*cut_off, *[Answered(200, [], b"ok")] * 9])
+    unreachable: list[Outcome] = [NotRun(Reason.UNREACHABLE)] * 3
+    sidecar = FakeSidecar([*unreachable, *[Answered(200, [], b"ok")] * 9])
     one = dispatcher(sidecar)
     one.dispatch(request("POST"))
-    cut = {attempt.target for attempt in sidecar.attempts[:3]}
+    avoided = {attempt.target for attempt in sidecar.attempts[:3]}
     sidecar.attempts.clear()
     for _ in range(5):
         assert isinstance(one.dispatch(request("POST")).outcome, Answered)
-    assert {attempt.target for attempt in sidecar.attempts}.isdisjoint(cut)
+    assert {attempt.target for attempt in sidecar.attempts}.isdisjoint(avoided)
     sidecar.script = [NotRun(Reason.LEAVING), Answered(200, [], b"ok")]
     assert isinstance(one.dispatch(request("POST")).outcome, Answered)
-    assert sidecar.attempts[-1].target in cut
+    assert sidecar.attempts[-1].target in avoided
     assert sidecar.attempts[-1].pressing
 
 
