--- a/roadpass/access.py
+++ b/roadpass/access.py
@@ -24,7 +24,7 @@
 ) -> Access | None:
     """Identify the customer of a request, and check whether its route admits it.
 
-    A request that matches no route is not refused here, but later by the router.
+    A request that matches no route is not refused here, but later when it is routed.
 
     Args:
         fleet: Fleet in force.
--- a/roadpass/caller_connection.py
+++ b/roadpass/caller_connection.py
@@ -56,7 +56,7 @@
         leaving: Returns whether connections should be closed because the node is leaving.
         metrics: Counts outcomes.
         active: Counts the requests being handled.
-        shutdown: Tells when this process will shut down.
+        shutdown: Shutdown deadline of this process.
         dialect: Header names used with callers.
         caller_header: Header in which callers name themselves.
         origin: Service of the VM at which requests originate, empty if unknown.
--- a/roadpass/cli/plan.py
+++ b/roadpass/cli/plan.py
@@ -66,8 +66,8 @@
     for name in sorted({*old.by_name, *new.by_name}):
         before, after = old.keys_of(name), new.keys_of(name)
         if before != after:
-            gone, come = len(before - after), len(after - before)
-            change = f"{len(after)}: {come} new, {gone} withdrawn"
+            removed, added = len(before - after), len(after - before)
+            change = f"{len(after)}: {added} new, {removed} withdrawn"
             found.append(Difference("keys of", name, str(len(before)), change))
     return found
 
--- a/roadpass/gossip.py
+++ b/roadpass/gossip.py
@@ -68,7 +68,7 @@
         audit: The audit trail.
         metrics: Counts datagrams and bytes.
         rng: Source of randomness.
-        quarantine: Records of requests during which targets crashed.
+        quarantine: Crash records of this node.
     """
 
     def __init__(
--- a/roadpass/gossip_messages.py
+++ b/roadpass/gossip_messages.py
@@ -70,7 +70,7 @@
 
 
 class CrashUpdate(NamedTuple):
-    """There are new crash reports of requests during which targets ended; peers are notified."""
+    """There are new crash records of requests; peers are notified at once."""
 
 
 class PublishHint(NamedTuple):
@@ -98,4 +98,4 @@
     on_hint: Callable[[str, Scores], None]
     on_leave: Callable[[], None]
     on_peer_position: Callable[[PeerPosition], None] | None = None
-    on_quota: Callable[[QuotaMessage], None] = lambda talk: None
+    on_quota: Callable[[QuotaMessage], None] = lambda message: None
--- a/roadpass/ingress.py
+++ b/roadpass/ingress.py
@@ -69,7 +69,7 @@
         self._open: set[socket.socket] = set()
         self._listener: socket.socket | None = None
         self._thread: threading.Thread | None = None
-        self._desk = ConnectionContext(
+        self._context = ConnectionContext(
             dispatch=dispatcher.dispatch,
             limits=lambda: view.limits,
             leaving=lambda: view.leaving or self._stopped.is_set(),
@@ -170,7 +170,7 @@
 
     def _run(self, sock: socket.socket, remote: str) -> None:
         try:
-            CallerConnection(sock, remote, self._desk).run()
+            CallerConnection(sock, remote, self._context).run()
         finally:
             self._open.discard(sock)
             self._connections.add(-1)
--- a/roadpass/learning.py
+++ b/roadpass/learning.py
@@ -29,7 +29,7 @@
         chooser: Selection among targets.
         loads: Load estimates of the targets.
         route_stats: Typical sizes and latencies of the requests of each route.
-        quarantine: Requests during which targets crashed.
+        quarantine: Crash records of this node.
         pause: Detects pauses of this process.
         behind: Called with a VM and its revision if that is newer than the local one.
 
@@ -77,7 +77,7 @@
             now: Clock seconds.
             state: State of the request.
             target: Target of the attempt.
-            reply: Outcome, and the load report and crash report that came with it, if any.
+            reply: Outcome, and the load report and crash record that came with it, if any.
             pending: The attempt as it was tracked while in flight.
             started: Clock seconds at which it was sent.
             last: Whether no other attempt was left for the request.
--- a/roadpass/message.py
+++ b/roadpass/message.py
@@ -114,7 +114,7 @@
 
     @property
     def spare(self) -> bool:
-        """Whether its failure does not lose the request, or without it the request is refused."""
+        """Whether the request is not lost if it fails, or would be refused without it."""
         return self.pressing or not self.last
 
     @property
@@ -149,7 +149,7 @@
         pressing: Whether all targets refused the request before.
         most_bad: Highest acceptable probability that the target is failing, 0 to 1.
         most_wait_ms: Longest acceptable wait for a slot in milliseconds.
-        spare: Whether the failure of the attempt does not lose the request.
+        spare: Whether the request is not lost if the attempt fails, or is refused without it.
         repeat: Whether an earlier attempt at the request reached a target.
         route: Route of the request, by which its typical latency is looked up.
     """
@@ -245,7 +245,8 @@
 
     Args:
         load: Load report of the target, if included.
-        crash: Crash record if targets ended during the request, see `roadpass.quarantine`.
+        crash: Crash record of the request, if targets crashed while they processed it, see
+            `roadpass.quarantine`.
     """
 
     outcome: Outcome
--- a/roadpass/quota.py
+++ b/roadpass/quota.py
@@ -111,7 +111,7 @@
         customer: Name of the customer.
         epoch: Changes with each start of the ingress and with each change of owner.
         wanted: Requests received, admitted or not.
-        admitted: Of these, the ones admitted and not refunded.
+        admitted: Number of these that were admitted and not refunded.
         per_s: Requests received a second, averaged over `RATE_MEMORY_S`.
     """
 
--- a/roadpass/quota_keeper.py
+++ b/roadpass/quota_keeper.py
@@ -40,7 +40,7 @@
 
 
 class Quotas:
-    """Quota checks of one ingress; safe for any thread.
+    """Quota checks of one ingress; thread-safe.
 
     Args:
         epoch: Start epoch of this process, higher than that of any earlier process of this node.
--- a/roadpass/stop_notices.py
+++ b/roadpass/stop_notices.py
@@ -40,8 +40,8 @@
     def _keep(self) -> None:
         """Extend shortened attempts to the request's deadline.
 
-        A stopping node has no time for a retry that would justify ending them early, and must not
-        send an error to the caller while a target still works on the response.
+        A stopping node plans no retry for which they would have to end early, and must not send an
+        error to the caller while a target still works on the response.
         """
         shortened: dict[str, dict[str, float]] = {}
         for attempt_id, pending in list(self._pending.items()):
--- a/roadpass/switchboard.py
+++ b/roadpass/switchboard.py
@@ -162,7 +162,7 @@
         self.monitor.tell(HintReceived(target, scores))
 
     def on_crash_update(self) -> None:
-        """Announce new records of requests during which targets crashed."""
+        """Announce new crash records of requests to the other nodes."""
         try:
             self.gossip.tell(CrashUpdate())
         except pykka.ActorDeadError:  # the request's response is delivered all the same
--- a/roadpass/view.py
+++ b/roadpass/view.py
@@ -96,7 +96,7 @@
         return 1 if node is not None and node.region == self._region else 2
 
     def service(self, name: str) -> ServiceView:
-        """Return the view of a service, with all targets at full weight before a health check."""
+        """Return the view of a service, with all targets at full weight until they are judged."""
         found = self.services.get(name)
         if found is None or found.revision not in (None, self.fleet.revision):
             revision = self.fleet.revision
--- a/tests/test_access.py
+++ b/tests/test_access.py
@@ -138,8 +138,8 @@
         assert "authorization" in names(request)
 
 
-def test_unrouted_request_is_left_to_the_router() -> None:
-    """So a node without a configuration and an unknown path get the router's own errors."""
+def test_unrouted_request_is_refused_by_routing() -> None:
+    """So requests to a node without configuration or for an unknown path are refused by routing."""
     assert identify(Fleet.empty(), "shop", "/x", "GET", Credential("k")) is None
     access = identify(fleet(SECRET), "shop", "/x", "GET", Credential("k"))
     assert access is not None
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -140,22 +140,22 @@
     Every request has a caller of its own, as the model knows no fairness among callers.
     """
     one = Admission(CLASSES, slots=slots, queue_limit=queue_limit)
-    twin = NaiveAdmission([entry.reserved for entry in CLASSES], slots, queue_limit)
+    model = NaiveAdmission([entry.reserved for entry in CLASSES], slots, queue_limit)
     numbers: dict[Ticket, int] = {}
     for number, (offers, rank) in enumerate(steps):
         name = CLASSES[rank].name
         if offers:
             decision = one.offer(0.0, name, f"caller-{number}", 60.0, retry=False)
-            words = {Admitted: "run", Queued: "wait", Refused: "refuse"}
-            assert words[type(decision)] == twin.offer(number, rank)
+            names = {Admitted: "run", Queued: "wait", Refused: "refuse"}
+            assert names[type(decision)] == model.offer(number, rank)
             if isinstance(decision, Queued):
                 numbers[decision.ticket] = number
-        elif twin.running[rank]:
+        elif model.running[rank]:
             started = [numbers[ticket] for ticket in one.release(0.0, name)]
-            assert started == twin.release(rank)
+            assert started == model.release(rank)
 
 
-def crowded() -> tuple[Admission, list[Ticket]]:
+def overloaded() -> tuple[Admission, list[Ticket]]:
     """Return an admission without free slots, and two long and four short queued requests."""
     one = admission()
     fill(one)
@@ -169,14 +169,14 @@
 
 def test_short_requests_go_first_but_never_starve_the_others() -> None:
     """Every third grant goes to a long request, so a flood of short ones cannot starve these."""
-    one, (long_1, long_2, *short) = crowded()
+    one, (long_1, long_2, *short) = overloaded()
     order = [ticket for _ in range(6) for ticket in one.release(0.1, "members")]
     assert order == [short[0], short[1], long_1, short[2], short[3], long_2]
 
 
 def test_short_request_is_judged_by_its_own_wait() -> None:
     """Only short requests are ahead of it, and its own latency decides about its deadline."""
-    one, _ = crowded()
+    one, _ = overloaded()
     assert one.expected_wait_ms("members", 2.0) < one.expected_wait_ms("members", 10.0)
     late = one.offer(0.0, "members", "x", 0.008, retry=False)
     in_time = one.offer(0.0, "members", "y", 0.008, retry=False, typical_ms=2.0)
@@ -186,6 +186,6 @@
 
 def test_abandoned_short_request_is_not_granted() -> None:
     """After it is abandoned, the next short request gets the slot."""
-    one, (_, _, first, second, *_) = crowded()
+    one, (_, _, first, second, *_) = overloaded()
     assert one.abandon(0.05, first) == []
     assert one.release(0.1, "members") == [second]
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -24,14 +24,14 @@
     code = (
         "import os, signal, threading, time\n"
         "from roadpass import daemon\n"
-        "def tell():\n"
+        "def send_signals():\n"
         "    while True:\n"
         "        time.sleep(0.001)\n"
         "        os.kill(os.getpid(), signal.SIGHUP)\n"
         "ignored = signal.signal\n"
         "def begin(number, how):\n"
         "    ignored(number, how)\n"
-        "    threading.Thread(target=tell, daemon=True).start()\n"
+        "    threading.Thread(target=send_signals, daemon=True).start()\n"
         "signal.signal = begin\n"
         f"raise SystemExit(daemon.main(['--settings', {str(tmp_path / 'none')!r}]))\n"
     )
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -153,7 +153,7 @@
     assert outcome.reason is Reason.WAITING_LIMIT
 
 
-def test_declared_repeat_runs_only_if_all_sidecars_vouch() -> None:
+def test_declared_repeat_runs_only_if_all_sidecars_rule_out_a_start() -> None:
     """If a sidecar cannot rule out an earlier start, the outcome is unknown and nothing is sent."""
     sidecar = FakeSidecar([Answered(200, [], b"ok")])
     sidecar.verdict = Verdict.CANNOT_VOUCH
--- a/tests/test_ending_elsewhere.py
+++ b/tests/test_ending_elsewhere.py
@@ -3,8 +3,9 @@
 The time limit of an attempt is set when it is sent. A read sent just before SIGTERM got its latency
 objective as the limit, since a retry was to follow. The objective passed during the stop, when no
 retry could be answered any more, and the caller got 504 four seconds after SIGTERM although its
-target would have answered before the node ended. So a stopping node asks the sidecars that hold
-such attempts to extend them to the request's deadline.
+target worked on it and would have answered before the node ended. So a stopping node asks the
+sidecars that hold such attempts to extend them to the request's deadline. Without that the caller
+gets 504 at the objective, whether the target is at this VM or at another one.
 """
 
 from collections.abc import Iterator
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -1,4 +1,4 @@
-"""The gossip actor with real UDP datagrams, including malformed ones."""
+"""The gossip actor with real UDP datagrams: malformed ones are counted, and it keeps running."""
 
 import random
 import socket
@@ -123,8 +123,8 @@
 
 def test_the_source_position_is_sent_and_received_with_its_era() -> None:
     """Nodes of earlier releases send no era, which means era 0."""
-    heard: list[PeerPosition] = []
-    ref = start(Metrics(), [], address="127.0.41.4", on_peer_position=heard.append)
+    positions: list[PeerPosition] = []
+    ref = start(Metrics(), [], address="127.0.41.4", on_peer_position=positions.append)
     ref.tell(Begin())
     ref.proxy().agreeing_peers.get()  # returns once the socket is bound and read
     peer = Member("vm-9", 1, MemberState.ALIVE, "127.0.41.10", 8081, 8082, "hall", "region")
@@ -139,8 +139,8 @@
         for fields in ({"revision": 9}, {"revision": 4, "era": 3}):
             content = pack({**unpack(datagram("vm-9")), "platform_age_s": 0.1, **fields})
             sock.sendto(content, ("127.0.41.4", PORTS.gossip))
-        assert eventually(lambda: len(heard) == 2)
-    assert [one.position for one in heard] == [Position(0, 9), Position(3, 4)]
+        assert eventually(lambda: len(positions) == 2)
+    assert [one.position for one in positions] == [Position(0, 9), Position(3, 4)]
     ref.stop()
 
 
--- a/tests/test_stop.py
+++ b/tests/test_stop.py
@@ -3,8 +3,9 @@
 Nodes stopped under overload closed the connections of 27 requests without a response. All slots of
 the service were held by requests that did not finish, and others were queued for a slot at this
 node or at another one. A queued request knew only its own deadline, and the stop waited for the
-count of requests in flight until the process ended five seconds after SIGTERM. Now the queue
-returns requests that were not started in time to be answered, and attempts at targets go on.
+count of requests in flight until the process ended five seconds after SIGTERM. The logs of such a
+request showed an attempt that was sent, and no start at a target. Now the queue returns requests
+that were not started in time to be answered, and attempts at targets go on.
 
 Attempts at targets were also ended a second before the grace time was over, as the process reserved
 that second for its own exit. It exits immediately now, so targets may use that second.
@@ -45,7 +46,7 @@
 
 
 def assert_returned(asked: Asked, told_at: float) -> None:
-    """Assert that a caller got 503 with Retry-After in time."""
+    """Assert that a caller learnt in time that its request did not run: 503 with Retry-After."""
     asked.join(GRACE_S + 2.0)
     assert (asked.status, asked.retry_after != "") == (503, True)
     assert asked.told_at < told_at + LAST_SIXTH_S
--- a/tests/test_stream_server.py
+++ b/tests/test_stream_server.py
@@ -1,4 +1,4 @@
-"""The peer stream server: replies being written, and failures of single connections."""
+"""The peer stream server goes on accepting after a connection failed, and finishes its replies."""
 
 import random
 import threading
