--- a/roadpass/dialect.py
+++ b/roadpass/dialect.py
@@ -11,8 +11,8 @@
         request_id: Id of a request, sent to targets and read from their responses.
         caller_sets_id: Whether callers send the id, which is then forwarded unchanged; otherwise
             the attempt's id is sent.
-        echoes_id: Whether a target must return the id; a response without it belongs to another
-            request.
+        echoes_id: Whether a target must return the id; a response without it is treated
+            as one to another request.
         expected_instance: Incarnation of the target that the request is meant for.
         instance: Incarnation of the target that responded.
         origin_service: Service of the VM at which a request originated.
--- a/roadpass/gossip.py
+++ b/roadpass/gossip.py
@@ -222,7 +222,7 @@
             self._send(answer)
 
     def _update_source_position(self, now: float, message: Datagram) -> None:
-        """Record what the sender holds of the platform or source, and how fresh that is."""
+        """Record which platform revision or source position the sender holds, and its age."""
         age_s = message.get("platform_age_s", UNKNOWN_AGE_S)
         seen_at = now - max(0.0, age_s)
         if self._events.on_peer_position is None:
--- a/roadpass/limit.py
+++ b/roadpass/limit.py
@@ -47,8 +47,8 @@
         Args:
             now: Clock seconds.
             service_ms: Milliseconds since the target received the request.
-            slow_ms: Milliseconds above which a request of its kind is slow, 0 if unknown. Being
-                specific to the kind, it stays right in a mix of short and long requests.
+            slow_ms: Milliseconds above which a request of its kind is slow, 0 if unknown. As it
+                depends on the kind, neither kind seems slow in a mix of short and long requests.
             in_use: Requests in flight at that time, this one included.
         """
         if self._service_ms == 0.0:
--- a/roadpass/message.py
+++ b/roadpass/message.py
@@ -65,7 +65,7 @@
         id: Ingress VM, its incarnation and a counter.
         remaining_ms: How much longer the ingress will wait for the reply.
         revision: Configuration revision by which the ingress chose the target.
-        slow_ms: Latency that counts as slow by the service's other targets, 0 if unknown.
+        slow_ms: Latency that is slow compared to the service's other targets, 0 if unknown.
         key: The caller's idempotency key, scoped to the service, empty for none.
         repeat: Whether the caller declared the request a repeat with that key.
         request_id: Request id set by the caller, empty for none.
@@ -225,7 +225,7 @@
 
     Args:
         latency_ms: 95th percentile of the service time, 0 while there are too few samples.
-        bad: Probability that the target is in a period of failures, 0 to 1.
+        bad: Probability that the target is failing, 0 to 1.
         wait_ms: Milliseconds that the requester would wait for a slot.
     """
 
--- a/roadpass/quota.py
+++ b/roadpass/quota.py
@@ -155,8 +155,8 @@
 class Rate:
     """Exponentially decaying average of requests a second.
 
-    It decays by time alone, so a node that received a value from another one computes the same
-    later values as the sender does without new requests.
+    It decays with time alone: without new requests, a node that received a value from another one
+    reads the same average as the sender.
     """
 
     at: float
--- a/roadpass/stream.py
+++ b/roadpass/stream.py
@@ -1,8 +1,8 @@
 """Streams between nodes: packed frames of limited length over TCP, with an age and a keyed MAC.
 
-A connection carries one exchange at a time. Each frame contains its sender's monotonic time. The
-smallest difference from the receiver's clock seen on the connection is taken as the transit time of
-an undelayed frame; the amount by which a frame exceeds it is the frame's age.
+A connection carries one exchange at a time. Each frame contains the time of its sender's clock, see
+`roadpass.clock`. The smallest difference from the receiver's clock seen on the connection is taken
+as the transit time of an undelayed frame; the amount by which a frame exceeds it is its age.
 """
 
 import hmac
--- a/roadpass/switchboard.py
+++ b/roadpass/switchboard.py
@@ -123,7 +123,7 @@
         self.gossip.tell(Confirmed(position, at, tell=own))
 
     def on_peer_position(self, peer: PeerPosition) -> None:
-        """Forward up to which position a peer holds the source."""
+        """Forward the position in the source up to which a peer is current."""
         self.store_reader.tell(peer)
 
     def on_quota(self, message: QuotaMessage) -> None:
--- a/tests/test_crashed_target.py
+++ b/tests/test_crashed_target.py
@@ -224,7 +224,7 @@
 
 
 def test_a_request_that_crashes_its_targets_is_refused_by_the_sidecar(bench: Bench) -> None:
-    """Also for an ingress that does not know it yet; the reply tells it."""
+    """Also for an ingress that does not know it yet; the reply contains the crash record."""
     for _ in range(MIN_CRASHES):
         bench.run("/bad")
         bench.target.start()
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -70,9 +70,10 @@
 
 
 def test_not_every_target_is_tried_when_the_repeats_of_a_service_are_spent() -> None:
-    """Once all targets replied so, the reply of one is enough for a while; then more are tried.
+    """Once all targets replied that theirs are spent, one such reply is enough for a while.
 
-    Otherwise each request of a large service that sheds load would try forty targets.
+    Then more targets are tried again. Otherwise each request of a large service that sheds load
+    would try forty targets.
     """
     spent = NotRun(Reason.REPEATS_SPENT)
     sidecar = FakeSidecar([NotRun(Reason.SHED), spent, spent, spent])
@@ -145,7 +146,7 @@
 
 
 def test_waiting_limit_refuses_at_once() -> None:
-    """Beyond the bulkhead of a service and class a request is refused as not run."""
+    """Above the waiting limit of a service and class a request is refused as not run."""
     one = dispatcher(FakeSidecar([]), waiting_limit=1)
     assert one._enter(("s", "default"), 1)
     outcome = one.dispatch(request("GET")).outcome
--- a/tests/test_ending.py
+++ b/tests/test_ending.py
@@ -110,10 +110,10 @@
     bench.configure(revision=3)
     assert slots.waiting == 1
     bench.configure(revision=4, leaving=True)
-    told_at = clock.now()
+    leaving_at = clock.now()
     while not outcomes:
         threading.Event().wait(0.001)
-    assert clock.now() - told_at < 0.3
+    assert clock.now() - leaving_at < 0.3
     assert isinstance(outcomes[0], NotRun)
     assert outcomes[0].reason is Reason.LEAVING
     for thread in threads:
@@ -140,7 +140,7 @@
 
 
 def test_recall_returns_queued_attempts_and_leaves_running_ones(bench: Bench) -> None:
-    """The table of starts decides both: a recalled attempt that was queued never starts."""
+    """The table of starts decides which: a recalled attempt that was queued never starts."""
     bench.state.behaviour.median_ms = 600.0
     outcomes: dict[int, Outcome] = {}
 
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -99,7 +99,7 @@
 
 
 def test_crashes_during_requests_are_sent_and_received() -> None:
-    """A crash is sent at once; received crashes are counted together with local ones."""
+    """A crash is sent at once, in every datagram; received ones count like those seen here."""
     quarantine = Quarantine()
     ref = start(Metrics(), [], quarantine=quarantine, address="127.0.41.3")
     quarantine.on_change = lambda: ref.tell(CrashUpdate())
