--- a/roadpass/load.py
+++ b/roadpass/load.py
@@ -128,7 +128,7 @@
             entry.reported_at = now
 
     def avoid(self, now: float, target: str, *, for_s: float = AVOID_S) -> None:
-        """Avoid a target that accepts no work, by default until all nodes should know of it."""
+        """Avoid a target that accepts no work, by default while configuration changes spread."""
         with self._lock:
             self._entries.setdefault(target, _Entry()).avoid_until = now + for_s
 
