--- a/roadpass/belief.py
+++ b/roadpass/belief.py
@@ -23,7 +23,7 @@
 """Assumed share of requests that a healthy target loses at once: so rare that the first loss trips
 the circuit breaker even of a target that has just responded."""
 ACCEPTED_AFTER_S = 0.03
-"""Seconds after which a request was not lost at once: several times the delay of a reset."""
+"""Seconds after which a request was not lost at once: several times what a reset takes to come."""
 LATE_LOSS_S = 0.1
 """Seconds after which a loss no longer predicts whether the next request is accepted: more than
 `ACCEPTED_AFTER_S`, since a node that is short of CPU time notices an immediate loss late."""
@@ -35,10 +35,11 @@
 """Probabilities at which a failure period counts as begun and as ended, to learn how often they
 occur and how long they last."""
 PROBABILITY_MAX = 0.93
-"""The estimate stays between these two, so that a few successful responses can turn it."""
+"""The estimate stays between this and `PROBABILITY_MIN`, so that a few responses can turn it."""
 PROBABILITY_MIN = 0.01
 TRACKED_MAX = 64
-"""Requests that are tracked one by one; beyond that, the oldest are folded in as they stand."""
+"""Requests that are tracked one by one; beyond that, the oldest are folded into the estimate with
+the evidence that they have given so far."""
 KINDS_MAX = 512
 """Kinds of requests whose latency is kept, 0.1 KB each; the oldest is dropped first."""
 RESETS_PRIOR = 0.1
@@ -223,8 +224,8 @@
 
     @property
     def _stationary_probability(self) -> float:
-        begin, over = self._rates()
-        return begin / (begin + over)
+        begin_rate, end_rate = self._rates()
+        return begin_rate / (begin_rate + end_rate)
 
     @property
     def _unanswered_share(self) -> float:
@@ -245,13 +246,13 @@
         """Return failure periods begun per healthy second and ended per failing second."""
         return self._periods_begun / self._healthy_s, self._periods_ended / self._failing_s
 
-    def _drift(self, bad: float, for_s: float) -> float:
+    def _drift(self, bad: float, elapsed_s: float) -> float:
         """Return the probability after a time without evidence, in seconds."""
-        if for_s <= 0.0:
+        if elapsed_s <= 0.0:
             return bad
-        begin, over = self._rates()
-        stationary = begin / (begin + over)
-        return stationary + (bad - stationary) * math.exp(-(begin + over) * for_s)
+        begin_rate, end_rate = self._rates()
+        stationary = begin_rate / (begin_rate + end_rate)
+        return stationary + (bad - stationary) * math.exp(-(begin_rate + end_rate) * elapsed_s)
 
     def _final_likelihood_ratio(self, now: float, tracked: TrackedRequest, end: End) -> float:
         match end:
--- a/roadpass/catalogue.py
+++ b/roadpass/catalogue.py
@@ -31,7 +31,7 @@
 """Seconds after a failed call in which withdrawn targets are kept: entries that lapsed while the
 source was unavailable are written again about 2 s after its return."""
 FALSE_EJECTIONS_PER_TARGET_WEEK = 0.1
-"""Accepted rate of false ejections of a target by its health judgement."""
+"""Accepted rate of false ejections, for each target and week."""
 ATTEMPT_TIMEOUT_MS = 60_000
 """So long that single attempts are bounded only by the deadline of their request."""
 WAITING_LIMIT = 400
--- a/roadpass/eject.py
+++ b/roadpass/eject.py
@@ -13,7 +13,7 @@
 TRIAL_SUCCESSES = 8
 RAMP_START = 0.1
 BOUND_WEIGHT = 0.3
-"""Relative traffic of a faulty target that the floor keeps in service."""
+"""Traffic of a faulty target that the floor keeps in service, relative to a healthy one."""
 
 
 class State(StrEnum):
--- a/roadpass/evidence.py
+++ b/roadpass/evidence.py
@@ -16,7 +16,7 @@
 GATEWAY_TIMEOUT = 504
 """Status that a target returns at the end of its time limit; it counts as no response then."""
 TIMED_OUT_SHARE = 0.9
-"""Share of the time limit after which this status means that the deadline has passed."""
+"""Share of the time limit after which `GATEWAY_TIMEOUT` means that the deadline has passed."""
 HANGING_FACTOR = 3.0
 """Multiple of the typical service time after which a request is not expected to end soon."""
 HANGING_WAIT_MS = 1000.0
--- a/roadpass/local.py
+++ b/roadpass/local.py
@@ -37,8 +37,9 @@
 """Maximum rise of a target's failure probability during the wait of a request that cannot be
 retried: about the cost of sending it to another target."""
 BREAKER_RETRY_MS = 600
-"""Minimum retry-after of a tripped circuit breaker, in milliseconds: every ingress asks again and
-failure periods last seconds, but the breaker recovers only through requests."""
+"""Minimum retry-after of a tripped circuit breaker, in milliseconds. It is not shorter, since every
+ingress asks again and failure periods last seconds, and not longer, since the breaker recovers only
+through requests."""
 
 
 class LocalTarget:
@@ -69,7 +70,7 @@
     ) -> None:
         self.target = target
         self._service = service
-        self._ending = shutdown
+        self._shutdown = shutdown
         self._fences = fences
         self._pause = pause
         self._estimator = FailureEstimator(clock.now())
@@ -163,22 +164,22 @@
             wait_ms=round(wait_ms),
         )
 
-    def refusal(self, question: AdmissionCheck) -> NotRun | None:
+    def refusal(self, check: AdmissionCheck) -> NotRun | None:
         """Return why an attempt would be refused now, `None` if it would be accepted."""
-        refusal = self._new_work_refusal(question)
+        refusal = self._new_work_refusal(check)
         if refusal is not None:
             return refusal
         now = clock.now()
         with self._lock:
-            wait_ms = self._expected_wait_ms(now, question.traffic_class, question.route)
+            wait_ms = self._expected_wait_ms(now, check.traffic_class, check.route)
             bad = self._estimator.bad(now)
             shed_cost = self._shedding.cost(now)
             admits_as_trial = self._breaker.admits_as_trial(
-                now, trial=question.may_be_trial and question.spare
+                now, trial=check.may_be_trial and check.spare
             )
-        if wait_ms > (question.most_wait_ms if question.may_wait else 0.0):
+        if wait_ms > (check.most_wait_ms if check.may_wait else 0.0):
             return NotRun(Reason.BUSY, int(wait_ms))
-        if shed_cost > question.most_bad or (bad > question.most_bad and not admits_as_trial):
+        if shed_cost > check.most_bad or (bad > check.most_bad and not admits_as_trial):
             return NotRun(Reason.DOUBTFUL, 0)
         return None
 
@@ -199,28 +200,28 @@
         with self._lock:
             self._shedding.record(clock.now(), outcome)
 
-    def _new_work_refusal(self, question: AdmissionCheck) -> NotRun | None:
+    def _new_work_refusal(self, check: AdmissionCheck) -> NotRun | None:
         """Return why the target gets no new request now, `None` if it may; ignores the queue."""
         return (
-            self._breaker_refusal(question)
+            self._breaker_refusal(check)
             or self._guard.refusal_while_down()
-            or self._repeat_refusal(question)
+            or self._repeat_refusal(check)
         )
 
-    def _repeat_refusal(self, question: AdmissionCheck) -> NotRun | None:
+    def _repeat_refusal(self, check: AdmissionCheck) -> NotRun | None:
         with self._lock:
-            allowed = not question.repeat or self._repeats.has_repeat_left(clock.now())
+            allowed = not check.repeat or self._repeats.has_repeat_left(clock.now())
         return None if allowed else NotRun(Reason.REPEATS_SPENT, RETRY_SOON_MS)
 
-    def _breaker_refusal(self, question: AdmissionCheck) -> NotRun | None:
+    def _breaker_refusal(self, check: AdmissionCheck) -> NotRun | None:
         if self.leaving:
             return NotRun(Reason.LEAVING, RETRY_SOON_MS)
         now = clock.now()
         with self._lock:
             admitted = self._breaker.admits(
                 now,
-                trial=question.may_be_trial and question.spare,
-                pressing=question.pressing,
+                trial=check.may_be_trial and check.spare,
+                pressing=check.pressing,
             )
             wait_s = self._breaker.wait_s(now)
         self._breaker_log.log_change(now)
@@ -282,7 +283,7 @@
             self._evidence.forget_old(now)
 
     def _worsened(self, attempt: Attempt, bad: float) -> NotRun | None:
-        """Return why an attempt must go elsewhere, if its target became unresponsive meanwhile."""
+        """Refuse an attempt whose target became much more likely to fail while it waited."""
         with self._lock:
             now_bad = self._estimator.bad(clock.now())
         if not attempt.last or attempt.pressing or now_bad < bad + MAX_WORSENING:
@@ -297,7 +298,7 @@
             return NotRun(Reason.CANCELLED, RETRY_SOON_MS)
         if (deadline - now) * 1000.0 < MIN_START_MS:
             return NotRun(Reason.EXPIRED, RETRY_SOON_MS)
-        if now >= self._ending.last_start(attempt.usual_ms):  # delayed by a lack of CPU time
+        if now >= self._shutdown.last_start(attempt.usual_ms):  # reached late for lack of CPU time
             return NotRun(Reason.LEAVING, RETRY_SOON_MS)
         refusal = self._new_work_refusal(AdmissionCheck.of(attempt)) or self._guard.refusal(attempt)
         if refusal is not None:
--- a/roadpass/monotonic.py
+++ b/roadpass/monotonic.py
@@ -27,7 +27,7 @@
         """Names of target starts, the most recently seen last."""
 
     def apply(self, changes: Changes) -> Changes:
-        """Return the update with everything replaced that is older than in previous updates."""
+        """Return the update with content older than that of previous updates replaced by theirs."""
         return changes._replace(changes=tuple(self._newest(changes)))
 
     def _newest(self, changes: Changes) -> Iterator[Change]:
--- a/roadpass/revived.py
+++ b/roadpass/revived.py
@@ -21,7 +21,7 @@
 
 
 class RestoredEntries:
-    """Holds such entries back until their targets write them again or they have failed to lapse.
+    """Holds such entries back until their targets write them again or they do not lapse in time.
 
     Has no side effects outside itself and reads no clock.
     """
--- a/roadpass/sidecar.py
+++ b/roadpass/sidecar.py
@@ -120,17 +120,17 @@
         """Drop expired fences; called regularly."""
         self._fences.expire(clock.now())
 
-    def check(self, question: AdmissionCheck) -> Message:
+    def check(self, check: AdmissionCheck) -> Message:
         """Return whether an attempt would be accepted, without running it."""
-        local = self._targets.get(question.target)
+        local = self._targets.get(check.target)
         if local is None:
             return Reply(NotRun(Reason.STALE_ROUTE, RETRY_SOON_MS)).to_message()
-        refusal = local.refusal(question)
+        refusal = local.refusal(check)
         match refusal:
             case None:
                 return {"t": "accepted"}
             case NotRun(reason=Reason.BUSY | Reason.DOUBTFUL):
-                report = local.report(self._fleet.revision, question.traffic_class, question.route)
+                report = local.report(self._fleet.revision, check.traffic_class, check.route)
                 return Reply(refusal, report).to_message()
             case _:
                 return Reply(refusal).to_message()
--- a/roadpass/slots.py
+++ b/roadpass/slots.py
@@ -42,7 +42,7 @@
         self._admission = Admission(classes, slots=slots, queue_limit=queue_limit)
         self._queued: dict[str, Ticket] = {}
         self._lock = lock
-        self._ending = shutdown
+        self._shutdown = shutdown
         self._leaving = False
 
     @property
@@ -52,7 +52,7 @@
 
     @leaving.setter
     def leaving(self, leaving: bool) -> None:
-        """Also wakes the queue: attempts refused now have more time to run at another target."""
+        """Set it; waiting attempts are woken, since later they would have less time to go elsewhere."""
         self._leaving = leaving
         if leaving:
             _wake_all(list(self._queued.values()))
@@ -98,7 +98,7 @@
         """
         now = clock.now()
         with self._lock:
-            if self._leaving or now >= self._ending.last_start(attempt.usual_ms):
+            if self._leaving or now >= self._shutdown.last_start(attempt.usual_ms):
                 return NotRun(Reason.LEAVING, RETRY_SOON_MS)
             self._admission.set_limit(self._limit.value, self._limit.service_ms)
             decision = self._admission.offer(
@@ -162,8 +162,12 @@
         assert isinstance(signal, threading.Event)
 
         def last_start() -> float:
-            """Read again on each call: a shutdown that begins during the wait must end it."""
-            return self._ending.last_start(attempt.usual_ms)
+            """Return the latest start, read anew on each call.
+
+            A shutdown that begins during the wait must end it, so that the attempt goes to another
+            target instead of being cut when the process exits.
+            """
+            return self._shutdown.last_start(attempt.usual_ms)
 
         def until() -> float:
             return -math.inf if self._leaving else min(deadline, wait_until, last_start())
--- a/tests/test_catalogue.py
+++ b/tests/test_catalogue.py
@@ -248,7 +248,10 @@
 def test_an_earlier_start_that_arrives_late_does_not_come_back(
     catalogue: Catalogue, full: bool, withdrawn: bool
 ) -> None:
-    """Late entries come from peers, stale reads or lost histories, also after the later start."""
+    """It may come from a peer, a stale read or after a lost history.
+
+    It does not come back after the later start is gone either.
+    """
     catalogue.apply(1.0, Changes(Position(0, 4), (target("t1", born=9),)))
     if withdrawn:
         catalogue.apply(2.0, Changes(Position(0, 5), (TargetWithdrawn("t1"),)))
@@ -286,7 +289,7 @@
 
 
 def test_the_targets_of_a_service_share_the_retries_of_the_fleet() -> None:
-    """Together they get no more than the slack of a window; ingresses have no part of their own."""
+    """Together they get no more than the slack of a window; an ingress has none of its own."""
     catalogue = Catalogue(Policy(0.7, 0.2, 60.0, 10.0))
     entries = [
         TargetPublished(TargetEntry(f"t{n}", "a", f"10.0.0.{n}:80", "h", 4, leaving=False))
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -174,7 +174,7 @@
 
 
 def test_error_responses_trip_it_as_losses_do() -> None:
-    """Trials that fail extend the back-off."""
+    """Trials wait for the back-off, which each failed one extends."""
     breaker, _, now = ready()
     for _ in range(2):
         breaker.end(now + 0.001, breaker.begin(now, KIND), End.FAILED)
--- a/tests/test_fence.py
+++ b/tests/test_fence.py
@@ -49,16 +49,16 @@
     tables = [FenceTable(started_at=OLD) for _ in range(3)]
     vouched: dict[int, set[int]] = {1: set(), 2: set()}
     runs = 0
-    for who, where, act in steps:
-        token = f"repeat/{who}"
-        if who == 0:
-            runs += tables[where].claim(0.0, f"first/{where}", "k") is None and where == 0
+    for caller, sidecar, act in steps:
+        token = f"repeat/{caller}"
+        if caller == 0:
+            runs += tables[sidecar].claim(0.0, f"first/{sidecar}", "k") is None and sidecar == 0
         elif act == 0:
-            if tables[where].fence_key(0.0, "k", token) is Verdict.NEVER_STARTS:
-                vouched[who].add(where)
-        elif vouched[who] == {0, 1, 2}:
-            runs += tables[where].claim(0.0, token, "k", repeat=True) is None
-        if who == 0 and where != 0:
+            if tables[sidecar].fence_key(0.0, "k", token) is Verdict.NEVER_STARTS:
+                vouched[caller].add(sidecar)
+        elif vouched[caller] == {0, 1, 2}:
+            runs += tables[sidecar].claim(0.0, token, "k", repeat=True) is None
+        if caller == 0 and sidecar != 0:
             return
     assert runs <= 1
 
--- a/tests/test_platform_reader.py
+++ b/tests/test_platform_reader.py
@@ -58,11 +58,11 @@
             assert clock.now() < deadline, "not in time"
             time.sleep(0.005)
 
-    def wait_for(self, holds: Callable[[Fleet], bool], timeout_s: float = LIMIT_S) -> None:
+    def wait_for(self, condition: Callable[[Fleet], bool], timeout_s: float = LIMIT_S) -> None:
         """Wait until a condition holds for the newest fleet."""
         deadline = clock.now() + timeout_s
         with self.changed:
-            while not (self.fleets and holds(self.fleets[-1])):
+            while not (self.fleets and condition(self.fleets[-1])):
                 assert self.changed.wait(deadline - clock.now()), "not in time"
 
 
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -84,10 +84,10 @@
                 node.reader.tell(self.position)
 
     def _fetch_update(self, address: Address, after: Any) -> SourceUpdate:
-        news = self._hall[address[1]]._journal.since(after)
-        if news is None:
+        update = self._hall[address[1]]._journal.since(after)
+        if update is None:
             raise StreamError("The peer has not read anything yet.")
-        return news
+        return update
 
 
 class Hall:
@@ -110,10 +110,10 @@
         """Write a configuration to the store, as the operator does."""
         self.state.put("op/config", config(version, [ROW]))
 
-    def wait_until(self, holds: Callable[[HallNode], bool], limit_s: float = LIMIT_S) -> None:
+    def wait_until(self, condition: Callable[[HallNode], bool], limit_s: float = LIMIT_S) -> None:
         """Wait until a condition holds on all nodes."""
         deadline = clock.now() + limit_s
-        while behind := [n for n, node in enumerate(self.nodes) if not holds(node)]:
+        while behind := [n for n, node in enumerate(self.nodes) if not condition(node)]:
             assert clock.now() < deadline, f"not true on nodes {behind} after {limit_s} s"
             time.sleep(0.005)
 
--- a/tests/test_shedding.py
+++ b/tests/test_shedding.py
@@ -20,7 +20,7 @@
 
 
 def test_the_cost_is_proportional_to_the_share_that_is_shed() -> None:
-    """Shedding half of the requests costs half as much as shedding all of them."""
+    """Shedding half of the requests costs half as much as all of them, which costs one retry."""
     half, full = Shedding(), Shedding()
     for number in range(200):
         half.record(NOW, SHED if number % 2 else ANSWER)
