--- a/roadpass/catalogue.py
+++ b/roadpass/catalogue.py
@@ -118,7 +118,7 @@
         Args:
             now: Clock seconds.
             changes: The update.
-            confirmed_at: Monotonic seconds at which the source was last confirmed to have nothing
+            confirmed_at: Clock seconds at which the source was last confirmed to have nothing
                 newer than the state before: what it withdraws may have been gone since then.
 
         Returns:
--- a/roadpass/reading_turn.py
+++ b/roadpass/reading_turn.py
@@ -10,8 +10,8 @@
 
 TAKEOVER_SHARE = 0.62
 """Age of the last confirmation at which a node takes over reading, as a share of the bound and
-without the steps below. The rest of the bound has room for one call, even to a slow source, and a
-lost datagram."""
+before the steps below are added. The rest of the bound has room for one call, even to a slow
+source, and a lost datagram."""
 TAKEOVER_STEP_SHARE = 0.035
 """Share of the bound added for each place in the order: time for a call and for the confirmation
 that follows from it, which makes the next node's call unnecessary."""
--- a/roadpass/revived.py
+++ b/roadpass/revived.py
@@ -77,5 +77,5 @@
         return expired
 
     def next_release_at(self) -> float:
-        """Return the clock seconds at which the next entry is due, infinite if there is none."""
+        """Return the clock seconds of the next release, infinite if there is none."""
         return min((held.until for held in self._held.values()), default=math.inf)
--- a/roadpass/sidecar.py
+++ b/roadpass/sidecar.py
@@ -172,7 +172,7 @@
         return verdict
 
     def keep(self, deadlines: Mapping[str, float]) -> list[str]:
-        """Extend the deadlines of running attempts, given by id in clock seconds.
+        """Extend the deadlines of running attempts; the argument maps ids to clock seconds.
 
         Returns:
             Ids of the attempts that run here.
--- a/roadpass/slots.py
+++ b/roadpass/slots.py
@@ -52,7 +52,7 @@
 
     @leaving.setter
     def leaving(self, leaving: bool) -> None:
-        """Set it; waiting attempts are woken, since later they would have less time to go elsewhere."""
+        """Also wakes the queue: attempts refused now have more time to run at another target."""
         self._leaving = leaving
         if leaving:
             _wake_all(list(self._queued.values()))
--- a/roadpass/store_reader.py
+++ b/roadpass/store_reader.py
@@ -77,7 +77,7 @@
         on_fleet: Called with each new fleet and the configuration that it was built from.
         on_peers: Called with targets that share their VM with a node, now or a while ago.
         on_confirmed: Called when the source is confirmed to have nothing newer than a position:
-            with the position, the time in monotonic seconds, and whether this node read it itself,
+            with the position, the time in clock seconds, and whether this node read it itself,
             so that its peers need to be notified.
         fetch_update: Fetches what came after a position from a peer; called by a separate actor.
             May raise `StreamError`.
--- a/tests/test_belief.py
+++ b/tests/test_belief.py
@@ -36,7 +36,7 @@
 
 
 def test_a_missing_response_counts_before_the_request_times_out() -> None:
-    """It counts more the longer it exceeds the typical latency; two requests count more than one."""
+    """The longer past the typical latency, the more it counts; two count more than one."""
     estimator, now = learned()
     estimator.begin(now, KIND)
     low = estimator.bad(now + ACCEPTED_AFTER_S)
--- a/tests/test_failure_share.py
+++ b/tests/test_failure_share.py
@@ -15,7 +15,7 @@
 
 
 def test_failures_of_a_failing_target_do_not_raise_the_baseline() -> None:
-    """Twenty would be most of a healthy target's responses; they count as failures of the target."""
+    """Twenty would be most of a healthy target's responses; they count as the failing one's."""
     shares = BaselineFailures()
     counted = sum(shares.failed(ROUTE, FAILING) for _ in range(20))
     assert shares.of(ROUTE) < 0.25
--- a/tests/test_store_reader.py
+++ b/tests/test_store_reader.py
@@ -1,12 +1,12 @@
 """The reader of a source, with a source in memory and peers that answer, fail or are unreachable.
 
-Guards against stale configurations on nodes that receive announcements of peers to which they cannot
-connect. In a fleet of 31 nodes, two nodes, each the first reader of its data hall, handled requests
-by configurations that had been replaced 5 s and 11 s earlier, although the source had been reachable
-for more than 3 s. They made one request per announcement, in order. Each request to a cut-off peer
-took 0.35 s, longer than the interval between announcements, so the queue grew and the nodes' own
-reads waited behind it: the announcements they acted on were up to 2.8 s old, and one peer was asked
-three times in a row.
+Guards against stale configurations on nodes that receive announcements of peers but cannot connect
+to them. In a fleet of 31 nodes, two nodes, each the first reader of its data hall, handled requests
+by configurations that had been replaced 5 s and 11 s earlier, although the source had been
+reachable for more than 3 s. They made one request per announcement, in order. Each request to a
+cut-off peer took 0.35 s, longer than the interval between announcements, so the queue grew and the
+nodes' own reads waited behind it: the announcements they acted on were up to 2.8 s old, and one
+peer was asked three times in a row.
 """
 
 import logging
