--- a/roadpass/evidence.py
+++ b/roadpass/evidence.py
@@ -43,7 +43,7 @@
     def __init__(self, false_ejections: float, now: float) -> None:
         self._detector = Detector(threshold(false_ejections))
         self._running: dict[str, Running] = {}
-        self._learnt_at = now
+        self._learned_at = now
 
     @property
     def scores(self) -> Scores:
@@ -112,7 +112,7 @@
             service_ms: Time that the target had it.
             failed: Whether it counts as a failure of the target.
         """
-        self._learnt_at = now
+        self._learned_at = now
         self._detector.observe(
             Sample(failed, service_ms),
             slow_ms=running.slow_ms,
@@ -122,7 +122,7 @@
 
     def forget_old(self, now: float) -> None:
         """Drop old evidence while idle, so that a target that gets requests again starts afresh."""
-        if now - self._learnt_at > EVIDENCE_TTL_S and self._detector.samples:
+        if now - self._learned_at > EVIDENCE_TTL_S and self._detector.samples:
             self._detector.reset()
 
 
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -261,7 +261,7 @@
 
 
 def test_shedding_raises_the_cost_of_a_target_but_never_excludes_it(bench: Bench) -> None:
-    """Attempts that accept only a lower cost are refused, those that accept its cost are sent."""
+    """Attempts are refused if they accept only a lower cost; the others run once it recovers."""
     bench.state.behaviour.shed = True
     for number in range(4):
         assert reason(bench, attempt(number)) is Reason.SHED
