--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Fault soak: nodes under a seeded schedule of faults, judged by what callers and targets saw."""
+"""Fault soak: runs nodes under a seeded fault schedule and checks what callers and targets saw."""
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m soak --seed N --seconds S --processes P`: exits 1 if a promise was broken."""
+"""`python -m soak --seed N --seconds S --processes P`: exits 1 on a violation."""
 
 import argparse
 import shutil
@@ -8,13 +8,13 @@
 from collections import Counter
 from pathlib import Path
 
-from soak.checker import Finding, check
+from soak.checker import Violation, check
 from soak.history import History
 from soak.plan import plan
-from soak.stage import Stage
+from soak.stage import Harness
 
 
-def play(
+def run_soak(
     seed: int,
     seconds: float,
     processes: int,
@@ -23,30 +23,38 @@
     *,
     ending: bool = False,
     restorations: bool = False,
-) -> list[Finding]:
-    """Play one soak and print findings and counts; logs stay if there are any, or as told."""
+) -> list[Violation]:
+    """Run one soak and print its violations and a summary.
+
+    The logs are deleted if there are no violations, unless `logs` names a folder for them.
+    """
     folder = logs or Path(tempfile.mkdtemp(prefix="soak-"))
     folder.mkdir(parents=True, exist_ok=True)
-    history, steps = History(), plan(seed, seconds, processes, restorations=restorations)
-    stage = Stage(folder, history, processes, net, seed, ending=ending)
+    history, faults = History(), plan(seed, seconds, processes, restorations=restorations)
+    harness = Harness(folder, history, processes, net, seed, ending=ending)
     try:
-        stage.play(steps, seconds)
+        harness.run(faults, seconds)
     finally:
-        stage.close()
-    findings = check(history)
-    for at, promise, node, request, text in findings:
-        print(f"{at:.3f} (+{at - history.began:.3f}) {promise}: {node} {request} {text}")
+        harness.close()
+    violations = check(history)
+    for at, invariant, node, request, text in violations:
+        print(f"{at:.3f} (+{at - history.started_at:.3f}) {invariant}: {node} {request} {text}")
     if ending:
-        print(f"targets ended under one request: {len(history.ends)}")
-    told = Counter(str(request.status or request.lost) for request in history.requests.values())
-    print(f"seed {seed}: {len(findings)} broken, {len(steps)} faults, told {dict(told)}, {folder}")
-    if not (findings or logs):
+        print(f"targets crashed by the poison request: {len(history.poison_crashes)}")
+    outcomes = Counter(
+        str(request.status or request.error) for request in history.requests.values()
+    )
+    print(
+        f"seed {seed}: {len(violations)} violations, {len(faults)} faults, "
+        f"outcomes {dict(outcomes)}, {folder}"
+    )
+    if not (violations or logs):
         shutil.rmtree(folder)
-    return findings
+    return violations
 
 
 def main() -> int:
-    """Play one soak; told to stop, it ends the nodes as well."""
+    """Run one soak; SIGTERM raises `SystemExit`, so that the node processes are killed as well."""
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(1))
     parser = argparse.ArgumentParser(prog="soak", description=__doc__)
     for name, kind, value in (
@@ -56,10 +64,14 @@
         ("net", int, 60),
     ):
         parser.add_argument(f"--{name}", type=kind, default=value)
-    parser.add_argument("--ending", action="store_true", help="with a request that ends targets")
-    parser.add_argument("--restorations", action="store_true", help="of the store from a backup")
-    parser.add_argument("--logs", type=Path, help="folder for logs, kept in any case")
-    return 1 if play(**vars(parser.parse_args())) else 0
+    parser.add_argument(
+        "--ending", action="store_true", help="send a poison request that crashes the targets"
+    )
+    parser.add_argument(
+        "--restorations", action="store_true", help="also restore the store from backups"
+    )
+    parser.add_argument("--logs", type=Path, help="folder for the logs, which are then always kept")
+    return 1 if run_soak(**vars(parser.parse_args())) else 0
 
 
 if __name__ == "__main__":
--- a/soak/caller.py
+++ b/soak/caller.py
@@ -1,4 +1,4 @@
-"""Callers: threads that send requests over kept and new connections and note every answer."""
+"""Caller threads, which send requests over idle and new connections and record each outcome."""
 
 import contextlib
 import http.client
@@ -8,30 +8,31 @@
 import threading
 
 from roadpass import clock
-from soak.customer import CUSTOMERS, NEVER, kept_key, passing_key, passing_owner
-from soak.history import CLOSED, GARBLED, LATE, History, Life, Request
+from soak.customer import CUSTOMERS, UNKNOWN_KEY, permanent_key, rotating_key, rotating_key_owner
+from soak.history import CLOSED, MALFORMED, TIMED_OUT, History, NodeProcess, Request
 from soak.node import SoakNode
-from soak.target import ENDING, answer_body, is_readable
+from soak.target import POISON_PATH, is_readable, response_body
 
 HOST = "soak.example"
 ROUTES = {"a": "GET", "b": "POST", "c": "GET", "d": "POST"}
 LONG_ROUTES = {"e": "GET", "f": "POST", "g": "GET", "h": "POST"}
-"""Method by route; a route's requests are repeatable if it is GET. Those of long routes take
-seconds or hang, and their callers wait longer than a node that stops may take."""
-DEADLINE_S, LONG_DEADLINE_S, PAUSED_S = 1.5, 15.0, 4.5
-"""For an answer: the requests' own, and what a pause of three seconds adds to it."""
+"""Method by route; requests of a GET route are repeatable. Requests of long routes take seconds or
+hang, and their callers wait longer than a node may take to stop."""
+DEADLINE_S, LONG_DEADLINE_S, PAUSE_ALLOWANCE_S = 1.5, 15.0, 4.5
+"""Deadlines of requests, and what a pause of three seconds adds to the wait for a response."""
 LONG_WORK_S, LONGEST_WORK_S, HANG_S = (0.2, 2.0), (2.0, 6.0), 30.0
 LONGEST_SHARE, HANG_SHARE = 0.25, 0.08
-"""How long a target is at work on a request of a long route, and how many take so long."""
-FRESH_SHARE = 0.15
-"""Share of requests for which a kept connection is given up, so that new ones are seen too."""
-NEVER_SHARE, PASSING_SHARE = 0.04, 0.1
-"""Shares of requests with a key that nobody has, and with one that goes with the next version."""
-REST_S, MAX_BODY_BYTES = (0.06, 0.26), 3000
+"""How long a target works on a request of a long route, and the shares of requests that take the
+longer time or hang."""
+NEW_CONNECTION_SHARE = 0.15
+"""Share of requests that drop an idle connection, so that new connections are tested too."""
+UNKNOWN_KEY_SHARE, ROTATING_KEY_SHARE = 0.04, 0.1
+"""Shares of requests with a key of no customer, and with one that the next version withdraws."""
+THINK_TIME_S, MAX_BODY_BYTES = (0.06, 0.26), 3000
 
 
 class Caller(threading.Thread):
-    """Sends requests until `stopped` is set, to nodes that are offered or still connected."""
+    """Sends requests to nodes in rotation or with an idle connection, until `stopped` is set."""
 
     routes, deadline_s = ROUTES, DEADLINE_S
 
@@ -42,89 +43,91 @@
         self._rng = random.Random(f"{seed} {name}")
         self._key_rng = random.Random(f"{seed} {name} keys")
         self._customer = self._key_rng.choice(CUSTOMERS)
-        self._kept: dict[Life, http.client.HTTPConnection] = {}
-        self._patience_s = self.deadline_s + PAUSED_S
+        self._idle: dict[NodeProcess, http.client.HTTPConnection] = {}
+        self._timeout_s = self.deadline_s + PAUSE_ALLOWANCE_S
 
     def run(self) -> None:
-        """Send until stopped."""
+        """Send one request after another until stopped."""
         for number in itertools.count():
-            if self.stopped.wait(self._rng.uniform(*REST_S)):
+            if self.stopped.wait(self._rng.uniform(*THINK_TIME_S)):
                 return
-            lives = [*self._offered(), *self._kept]
-            life = self._rng.choice(lives) if lives else None
-            connection = self._connection(life) if life else None
-            if life and connection and self._ask(life, connection, f"{self.name}-{number}"):
-                self._kept[life] = connection
+            processes = [*self._in_rotation(), *self._idle]
+            process = self._rng.choice(processes) if processes else None
+            connection = self._connection(process) if process else None
+            if process and connection and self._send(process, connection, f"{self.name}-{number}"):
+                self._idle[process] = connection
             elif connection:
                 connection.close()
 
-    def _offered(self) -> list[Life]:
-        return [node.life for node in self._nodes if node.offered]
+    def _in_rotation(self) -> list[NodeProcess]:
+        return [node.process for node in self._nodes if node.in_rotation]
 
-    def _connection(self, life: Life) -> http.client.HTTPConnection | None:
-        """Return the kept connection, or a new one where these may go; `None` if there is none."""
-        kept = self._kept.pop(life, None)
+    def _connection(self, process: NodeProcess) -> http.client.HTTPConnection | None:
+        """Return an idle or new connection; `None` if the node is out of rotation or down."""
+        idle = self._idle.pop(process, None)
         with contextlib.suppress(OSError):
-            if kept and self._rng.random() > FRESH_SHARE and not _is_closed(kept.sock):
-                return kept
-            if life in self._offered():
-                made = http.client.HTTPConnection(*life.address, timeout=self._patience_s)
-                made.connect()
-                return made
+            if idle and self._rng.random() > NEW_CONNECTION_SHARE and not _is_closed(idle.sock):
+                return idle
+            if process in self._in_rotation():
+                connection = http.client.HTTPConnection(*process.address, timeout=self._timeout_s)
+                connection.connect()
+                return connection
         return None
 
-    def _ask(self, life: Life, connection: http.client.HTTPConnection, identity: str) -> bool:
-        """Send a request and note its end; return whether the connection is kept."""
-        route, path = self._work(identity)
+    def _send(
+        self, process: NodeProcess, connection: http.client.HTTPConnection, request_id: str
+    ) -> bool:
+        """Send a request and record its outcome; return whether the connection stays usable."""
+        route, path = self._choose_path(request_id)
         method = self.routes[route]
-        whose, key = self._key()
+        customer, key = self._choose_key()
         headers = {
             "Host": HOST,
-            "Request-Id": identity,
+            "Request-Id": request_id,
             "Deadline-Ms": f"{self.deadline_s * 1000:.0f}",
         }
         headers |= {"Authorization": f"Token {key}", "Tenant-Id": "somebody-else"}
         body = b"y" * self._rng.randrange(MAX_BODY_BYTES) if method == "POST" else None
-        request = Request(identity, route, method == "GET", life, clock.now(), path=path)
-        request.customer, request.key = whose, key
-        request.work_s, request.limit_s = self._work_s(), self.deadline_s
-        self._history.requests[identity] = request
+        request = Request(request_id, route, method == "GET", process, clock.now(), path=path)
+        request.customer, request.key = customer, key
+        request.work_s, request.deadline_s = self._work_s(), self.deadline_s
+        self._history.requests[request_id] = request
         try:
             connection.request(method, path, body, headers)
             response = connection.getresponse()
             request.status = response.status
-            request.whole = response.read() == answer_body(identity, path)
+            request.body_matches = response.read() == response_body(request_id, path)
         except TimeoutError:
-            request.lost = LATE
+            request.error = TIMED_OUT
         except (OSError, http.client.IncompleteRead):
-            request.lost = CLOSED
+            request.error = CLOSED
         except http.client.HTTPException:
-            request.lost = GARBLED
-        request.told = clock.now()
-        return not request.lost and bool(connection.sock)
+            request.error = MALFORMED
+        request.ended_at = clock.now()
+        return not request.error and bool(connection.sock)
 
-    def _key(self) -> tuple[str, str]:
-        """Return whose key the next request shows, nobody's for an empty name, and the key."""
+    def _choose_key(self) -> tuple[str, str]:
+        """Return the customer, empty for an unknown key, and the key of the next request."""
         drawn = self._key_rng.random()
-        if drawn < NEVER_SHARE:
-            return "", NEVER
-        if drawn < NEVER_SHARE + PASSING_SHARE:
+        if drawn < UNKNOWN_KEY_SHARE:
+            return "", UNKNOWN_KEY
+        if drawn < UNKNOWN_KEY_SHARE + ROTATING_KEY_SHARE:
             version = self._history.configurations[-1].version
-            return passing_owner(version), passing_key(version)
-        return self._customer, kept_key(self._customer)
+            return rotating_key_owner(version), rotating_key(version)
+        return self._customer, permanent_key(self._customer)
 
-    def _work(self, identity: str) -> tuple[str, str]:
+    def _choose_path(self, request_id: str) -> tuple[str, str]:
         """Return the route and the path of the next request."""
         route = self._rng.choice(list(self.routes))
-        return route, f"/{route}/{identity}?q={self._rng.randrange(100)}"
+        return route, f"/{route}/{request_id}?q={self._rng.randrange(100)}"
 
     def _work_s(self) -> float:
-        """Return how long the target of the next request is at work, 0 for its usual time."""
+        """Return how long the target works on the next request, 0 for the target's default."""
         return 0.0
 
 
-class PatientCaller(Caller):
-    """Sends requests that take seconds or hang, and waits for their answers."""
+class LongRouteCaller(Caller):
+    """Sends requests that take seconds or hang, and waits for their responses."""
 
     routes, deadline_s = LONG_ROUTES, LONG_DEADLINE_S
 
@@ -132,18 +135,18 @@
         drawn = self._rng.random()
         if drawn < HANG_SHARE:
             return HANG_S
-        most = drawn < HANG_SHARE + LONGEST_SHARE
-        return self._rng.uniform(*(LONGEST_WORK_S if most else LONG_WORK_S))
+        longest = drawn < HANG_SHARE + LONGEST_SHARE
+        return self._rng.uniform(*(LONGEST_WORK_S if longest else LONG_WORK_S))
 
 
-class EndingCaller(Caller):
-    """Sends one request again and again that ends each target that runs it."""
+class PoisonCaller(Caller):
+    """Repeats one poison request, which crashes each target that runs it."""
 
-    def _work(self, identity: str) -> tuple[str, str]:
-        return "a", f"/a{ENDING}"
+    def _choose_path(self, request_id: str) -> tuple[str, str]:
+        return "a", f"/a{POISON_PATH}"
 
-    def _key(self) -> tuple[str, str]:
-        return "library", kept_key("library")
+    def _choose_key(self) -> tuple[str, str]:
+        return "library", permanent_key("library")
 
 
 def _is_closed(sock: socket.socket) -> bool:
--- a/soak/history.py
+++ b/soak/history.py
@@ -1,4 +1,4 @@
-"""What was seen and done during a soak, in seconds of the clock."""
+"""Events recorded during a soak; times are in seconds of `roadpass.clock`."""
 
 from dataclasses import dataclass, field
 from math import inf
@@ -7,89 +7,90 @@
 from roadpass import clock
 
 STORE = "store"
-"""Subject of the store's troubles; others have the name of a node or of a target's instance."""
-CLOSED, LATE, GARBLED = "connection closed", "no answer in time", "no HTTP"
-"""How a request may be lost."""
+"""Subject of the store's disturbances; others have the name of a node or of a target instance."""
+CLOSED, TIMED_OUT, MALFORMED = "connection closed", "no response in time", "malformed HTTP"
+"""Errors of requests that got no complete response."""
 
 
 @dataclass(eq=False)
-class Life:
+class NodeProcess:
     """One process of a node.
 
-    `killed` tells whether it was ended from outside, `overdue` whether that was as it was still
-    there at the end of the grace time.
+    `killed` is set if a fault killed it, `overdue` if it was killed because it was still running
+    at the end of the grace period.
     """
 
     node: str
     address: tuple[str, int] = ("", 0)
-    stopping: float = inf
-    ended: float = inf
-    code: int = 0
+    sigterm_at: float = inf
+    exited_at: float = inf
+    exit_code: int = 0
     killed: bool = False
     overdue: bool = False
 
 
 @dataclass(eq=False)
 class Instance:
-    """One instance of a target; `left` is when the store took its leaving."""
+    """One instance of a target; `draining_at` is when the store accepted its draining state."""
 
     name: str
     service: str
     node: str
-    born: float = inf
-    left: float = inf
+    published_at: float = inf
+    draining_at: float = inf
 
 
 @dataclass(eq=False)
 class Arrival:
-    """A target has read a whole request.
+    """A request that a target has read completely.
 
     Args:
-        at: When.
-        instance: The target.
-        ran: Whether it ran it.
-        customer: Whose request it was told that it is.
-        key_shown: Whether it was shown a key.
-        done: When its work ended, with or without an answer.
-        cut: Whether whoever had sent the request ended that work.
+        at: Time of arrival.
+        instance: The target instance.
+        ran: Whether the target ran it.
+        customer: The customer that the node named in its headers.
+        key_forwarded: Whether the node forwarded the caller's key.
+        finished_at: When the target's work ended, with or without a response.
+        cancelled: Whether the sender closed the connection during that work.
     """
 
     at: float
     instance: Instance
     ran: bool = True
     customer: str = ""
-    key_shown: bool = False
-    done: float = inf
-    cut: bool = False
+    key_forwarded: bool = False
+    finished_at: float = inf
+    cancelled: bool = False
 
 
 @dataclass(eq=False)
 class Request:
-    """A caller's request and its end; `whole` tells whether the body is the request's own.
+    """A caller's request and its outcome.
 
-    `customer` is whose key it shows, `key` that key; `work_s` is how long its target is at work,
-    `limit_s` when it ends by its own deadline.
+    `body_matches` is set if the response body belongs to this request. `customer` is the owner of
+    `key`, empty for an unknown key. `work_s` is how long its target works on it, 0 for the target's
+    default; `deadline_s` is the request's own deadline.
     """
 
     id: str
     route: str
     repeatable: bool
-    life: Life
-    asked: float
-    told: float = inf
+    process: NodeProcess
+    sent_at: float
+    ended_at: float = inf
     status: int = 0
-    whole: bool = False
-    lost: str = ""
+    body_matches: bool = False
+    error: str = ""
     arrivals: list[Arrival] = field(default_factory=list)
     path: str = ""
     customer: str = ""
     key: str = ""
     work_s: float = 0.0
-    limit_s: float = inf
+    deadline_s: float = inf
 
 
-class Configured(NamedTuple):
-    """A configuration was written; `services` has the service of each route."""
+class ConfigWrite(NamedTuple):
+    """A configuration written to the store; `services` maps each route to its service."""
 
     at: float
     version: int
@@ -97,32 +98,32 @@
 
 
 @dataclass(eq=False)
-class Trouble:
-    """A time in which something is not in order."""
+class Disturbance:
+    """A period in which a node, a target instance or the store is faulty or down."""
 
     subject: str
-    what: str
+    kind: str
     begin: float
     end: float = inf
 
 
 class History:
-    """All that happened; everything only grows, so that any thread may add to it.
+    """All events of a run; its containers only grow, so that any thread may add to them.
 
     Attributes:
-        ends: When a target ended under the request that ends them all.
+        poison_crashes: Times at which the poison request crashed a target.
     """
 
     def __init__(self) -> None:
-        self.began = clock.now()
+        self.started_at = clock.now()
         self.requests: dict[str, Request] = {}
-        self.lives: list[Life] = []
+        self.node_processes: list[NodeProcess] = []
         self.instances: list[Instance] = []
-        self.configurations: list[Configured] = []
-        self.troubles: list[Trouble] = []
-        self.ends: list[float] = []
-
-    def trouble(self, subject: str, what: str) -> Trouble:
-        """Note that trouble begins; its end is set on what is returned."""
-        self.troubles.append(Trouble(subject, what, clock.now()))
-        return self.troubles[-1]
+        self.configurations: list[ConfigWrite] = []
+        self.disturbances: list[Disturbance] = []
+        self.poison_crashes: list[float] = []
+
+    def begin_disturbance(self, subject: str, kind: str) -> Disturbance:
+        """Record the begin of a disturbance; the caller sets `end` on the returned object."""
+        self.disturbances.append(Disturbance(subject, kind, clock.now()))
+        return self.disturbances[-1]
--- a/soak/seeds.py
+++ b/soak/seeds.py
@@ -1,16 +1,18 @@
-"""Runs that broke a promise by a real fault: its cause by seed, seconds and processes."""
+"""Runs that found a real fault of the nodes: its cause by seed, seconds and processes."""
 
 PAUSED_STOP = (
-    "a stop took a pause, or a lack of processor time, for quiet: unread requests were lost"
+    "a stopping node mistook a pause or a lack of CPU time for idleness and lost unread requests"
 )
-NO_TIME_LEFT = "a pause used up the time of a request, and its connection got a negative limit"
-WAITED = "what waited for a slot did not know of the end of its node, and was cut with it"
-PEER_STOOD_STILL = (
-    "what waited beside a VM that stood still was cut at the end of its own node's time"
+NO_TIME_LEFT = (
+    "a pause used up the deadline of a request, and its connection got a negative timeout"
 )
+QUEUED_REQUEST_CUT = (
+    "requests queued for a slot were not told of their node's shutdown, and were cut by it"
+)
+PEER_PAUSED = "requests queued at a paused VM were cut at the stop limit of their own node"
 REGRESSIONS = {
     **dict.fromkeys([(117, 15.0, 5), (208, 30.0, 6), (214, 30.0, 6)], PAUSED_STOP),
     (319, 15.0, 5): NO_TIME_LEFT,
-    (1, 15.0, 5): WAITED,
-    (712, 15.0, 5): PEER_STOOD_STILL,
+    (1, 15.0, 5): QUEUED_REQUEST_CUT,
+    (712, 15.0, 5): PEER_PAUSED,
 }
--- a/soak/store.py
+++ b/soak/store.py
@@ -1,93 +1,93 @@
-"""The store's stand-in with faults."""
+"""The stand-in for the store, with injected faults."""
 
 import base64
 from collections import deque
 from typing import Any
 
 from roadpass import clock
-from soak.plan import RESTORED
+from soak.plan import STORE_RESTORED
 from stand_ins.store import StoreBackup, StoreState
 
 DELAYS_S = {"store-slow": 0.6, "store-silent": 5.0}
-"""Seconds that a call is held up; from a silent store nodes want no answer so late."""
-DOWN = ("store-503", RESTORED)
-BACKUPS = 100
-"""Backups that are kept, one after each write."""
+"""Seconds by which calls are delayed; the nodes time out long before a silent store answers."""
+UNAVAILABLE = ("store-503", STORE_RESTORED)
+MAX_BACKUPS = 100
+"""Most recent backups that are kept; one is made after each write."""
 
 
 class FaultyStore(StoreState):
-    """What the store holds, and how it fails; a stale one is as it was after the last fault."""
+    """A store that fails as `set_fault` says; a stale one serves its state after the last fault."""
 
     def __init__(self) -> None:
         super().__init__()
         self._fault = ""
-        self._past = StoreState()
-        self._backups: deque[tuple[float, StoreBackup]] = deque(maxlen=BACKUPS)
-        self._lost: dict[str, dict[str, Any] | None] = {}
+        self._stale_copy = StoreState()
+        self._backups: deque[tuple[float, StoreBackup]] = deque(maxlen=MAX_BACKUPS)
+        self._lost_writes: dict[str, dict[str, Any] | None] = {}
 
     def put(self, key: str, value: Any) -> None:
-        """Write an item; what a restoration lost of it is written no more."""
+        """Write an item, which replaces a lost write of this key."""
         with self.changed:
-            self._lost.pop(key, None)
+            self._lost_writes.pop(key, None)
             super().put(key, value)
             self._backups.append((clock.now(), self.backup()))
 
     def delete(self, key: str) -> None:
-        """Remove an item if it is there; see `put`."""
+        """Remove an item if it exists; replaces a lost write of this key."""
         with self.changed:
-            self._lost.pop(key, None)
+            self._lost_writes.pop(key, None)
             if key in self.items:
                 super().delete(key)
                 self._backups.append((clock.now(), self.backup()))
 
     def restore_from(self, age_s: float) -> None:
-        """Come back from a backup that is so old, or the oldest one."""
+        """Restore the newest backup of at least this age, or the oldest; record the lost writes."""
         with self.changed:
-            before = clock.now() - age_s
-            older = [backup for at, backup in self._backups if at <= before]
-            backup = older[-1] if older else self._backups[0][1]
-            self._lost = {
+            restored_at = clock.now() - age_s
+            candidates = [backup for at, backup in self._backups if at <= restored_at]
+            backup = candidates[-1] if candidates else self._backups[0][1]
+            self._lost_writes = {
                 key: self.items.get(key)
                 for key in self.items.keys() | backup.items.keys()
                 if self.items.get(key) != backup.items.get(key)
             }
             self.restore(backup)
 
-    def write_again(self) -> None:
-        """Have the operator and the targets write what the restoration lost."""
+    def rewrite_lost(self) -> None:
+        """Repeat the writes that a restoration lost, as the operator and the targets would."""
         with self.changed:
-            for key, item in list(self._lost.items()):
+            for key, item in list(self._lost_writes.items()):
                 if item is None:
                     self.delete(key)
                 else:
                     self.put(key, base64.b64decode(item["Value"]))
 
-    def fail(self, fault: str) -> None:
-        """Fail so from now on, with an empty text not at all."""
+    def set_fault(self, fault: str) -> None:
+        """Fail in this way from now on; an empty text ends the fault."""
         with self.changed:
             self._fault = fault
-            self.status = 503 if fault in DOWN else 200
+            self.status = 503 if fault in UNAVAILABLE else 200
             if not fault:
-                self._past = StoreState()
-                self._past.history_from = self.history_from
-                self._past.restore(self.backup())
+                self._stale_copy = StoreState()
+                self._stale_copy.history_from = self.history_from
+                self._stale_copy.restore(self.backup())
             if fault == "store-forgets":
                 self.forget()
             self.changed.notify_all()
 
     def range(self, prefix: str, after: str) -> dict[str, Any]:
-        """Return a page of items."""
-        past = self._hold()
-        return past.range(prefix, after) if past else super().range(prefix, after)
+        """Return a page of items, from the stale copy if the store is stale."""
+        stale_copy = self._delay()
+        return stale_copy.range(prefix, after) if stale_copy else super().range(prefix, after)
 
     def watch(self, prefix: str, after: int, wait_s: float) -> dict[str, Any] | None:
-        """Wait for events; a stale store knows nothing of revisions that it has not seen."""
-        past = self._hold()
-        return (past.watch if past else super().watch)(prefix, after, wait_s)
+        """Wait for events; a stale store does not know revisions newer than its copy."""
+        stale_copy = self._delay()
+        return (stale_copy.watch if stale_copy else super().watch)(prefix, after, wait_s)
 
-    def _hold(self) -> StoreState | None:
-        """Hold a call up as the fault says; return what a stale store answers it from."""
+    def _delay(self) -> StoreState | None:
+        """Delay a call as the fault requires; return the copy that a stale store answers from."""
         with self.changed:
             delay_s = DELAYS_S.get(self._fault, 0.0)
             self.changed.wait_for(lambda: self._fault not in DELAYS_S, delay_s)
-            return self._past if self._fault == "store-stale" else None
+            return self._stale_copy if self._fault == "store-stale" else None
--- a/soak/target.py
+++ b/soak/target.py
@@ -1,4 +1,4 @@
-"""A target that fails as it is told and notes what arrives."""
+"""A target with injected faults, which records the requests that arrive."""
 
 import contextlib
 import random
@@ -15,23 +15,23 @@
 from roadpass import clock
 from soak.history import Arrival, History, Instance, Request
 
-ENDING = "/ending"
-"""In the path of a request that ends each target that runs it."""
-SICK_SHARE = 0.6
-"""Share of requests to which a fault applies: a sick target is half alive."""
+POISON_PATH = "/ending"
+"""Part of the path of the poison request, which crashes each target that runs it."""
+FAULT_SHARE = 0.6
+"""Share of requests to which a fault applies: a faulty target still serves the others."""
 NOT_RUN = ("reset-early", "shed", "foreign")
 PORT, WORK_S, SLOW_S, HANG_LIMIT_S = 8110, 0.004, (0.3, 1.2), 5.0
-RESET = struct.pack("ii", 1, 0)
-"""Socket option by which a close resets the connection."""
+LINGER_RESET = struct.pack("ii", 1, 0)
+"""Value of SO_LINGER with which a close resets the connection."""
 
 
-def answer_body(request: str, path: str) -> bytes:
-    """Return the whole answer to a request; its length differs from others'."""
+def response_body(request: str, path: str) -> bytes:
+    """Return the response body of a request; its content and length depend on the request."""
     return f"{request} {path} ".encode() + b"x" * (sum(request.encode()) % 997)
 
 
 class SoakTarget(ThreadingTCPServer):
-    """A target at one address, as one instance after another; `fault` is empty for none."""
+    """A target at one address; each restart makes a new instance, and an empty `fault` is none."""
 
     allow_reuse_address = daemon_threads = True
     request_queue_size = 128
@@ -41,36 +41,36 @@
         self.ip, self.address = ip, f"{ip}:{PORT}"
         self.instance, self.history, self.fault = instance, history, ""
         self.rng = random.Random(instance.name)
-        self.open: set[socket.socket] = set()
+        self.connections: set[socket.socket] = set()
         self.down = False
-        self._ending = threading.Lock()
-        self.on_end: Callable[[SoakTarget], None] = lambda target: None
+        self._kill_lock = threading.Lock()
+        self.on_crash: Callable[[SoakTarget], None] = lambda target: None
         self._serve()
 
-    def crash(self) -> None:
-        """Reset all connections, and be another instance."""
+    def restart(self) -> None:
+        """Reset all connections and continue as a new instance without a fault."""
         name, _, number = self.instance.name.rpartition("-")
         name = f"{name}-{int(number) + 1}"
         self.fault, self.instance = "", Instance(name, self.instance.service, self.instance.node)
-        for sock in self.open.copy():
+        for sock in self.connections.copy():
             _reset(sock)
 
-    def end(self) -> None:
-        """End as a process does that is killed: no connection is taken from now on."""
-        with self._ending:
+    def kill(self) -> None:
+        """Behave like a killed process: reset all connections and accept no new ones."""
+        with self._kill_lock:
             if self.down:
                 return
             self.down = True
         self.socket.shutdown(socket.SHUT_RDWR)
-        self.on_end(self)
-        for sock in self.open.copy():
+        self.on_crash(self)
+        for sock in self.connections.copy():
             _reset(sock)
 
-    def start_again(self) -> None:
-        """Listen again, as another instance."""
+    def start(self) -> None:
+        """Listen again, as a new instance."""
         self.shutdown()
         self.server_close()
-        self.crash()
+        self.restart()
         self.socket = socket.socket(self.address_family, self.socket_type)
         self.server_bind()
         self.server_activate()
@@ -81,7 +81,7 @@
         threading.Thread(target=self.serve_forever, args=(0.1,), daemon=True).start()
 
     def handle_error(self, *_: object) -> None:
-        """Say nothing of lost connections, which are wanted."""
+        """Print nothing, as lost connections are intended."""
 
 
 class _Handler(BaseHTTPRequestHandler):
@@ -89,46 +89,46 @@
     server: SoakTarget
 
     def do_GET(self) -> None:
-        self.server.open.add(self.connection)
+        self.server.connections.add(self.connection)
         length = int(self.headers.get("Content-Length", "0"))
         if len(self.rfile.read(length)) == length:
-            self._answer(self.server)
+            self._handle_request(self.server)
 
     do_POST = do_GET
 
-    def _answer(self, target: SoakTarget) -> None:
-        """Run one request as the fault says, and note that it came."""
-        fault = target.fault if target.rng.random() < SICK_SHARE else ""
+    def _handle_request(self, target: SoakTarget) -> None:
+        """Record the arrival of a request and serve it as the fault requires."""
+        fault = target.fault if target.rng.random() < FAULT_SHARE else ""
         instance = target.instance
         if self.headers.get("Expected-Instance", instance.name) != instance.name:
             fault = "foreign"
         request = target.history.requests[self.headers["Request-Id"]]
-        told = self.headers.get("Tenant-Id", "")
-        shown = "Authorization" in self.headers
+        customer = self.headers.get("Tenant-Id", "")
+        key_forwarded = "Authorization" in self.headers
         ran = fault not in NOT_RUN
-        request.arrivals.append(Arrival(clock.now(), instance, ran, told, shown))
+        request.arrivals.append(Arrival(clock.now(), instance, ran, customer, key_forwarded))
         arrival = request.arrivals[-1]
         try:
-            if ENDING in self.path and ran:
-                self._end(target, arrival)
-            elif ran and request.work_s and self._is_left(arrival, request.work_s):
+            if POISON_PATH in self.path and ran:
+                self._kill_target(target, arrival)
+            elif ran and request.work_s and self._wait_for_close(arrival, request.work_s):
                 return
             else:
-                self._play(fault, request, arrival)
+                self._respond(fault, request, arrival)
         finally:
-            arrival.done = clock.now()
+            arrival.finished_at = clock.now()
 
-    def _play(self, fault: str, request: Request, arrival: Arrival) -> None:
-        """Answer a request as the fault says."""
+    def _respond(self, fault: str, request: Request, arrival: Arrival) -> None:
+        """Send the response that the fault requires."""
         target = self.server
         time.sleep(target.rng.uniform(*SLOW_S) if fault == "slow" else WORK_S)
         self.close_connection |= fault in ("reset-early", "reset-late", "hang", "garbled")
-        body = answer_body(request.id, self.path)
+        body = response_body(request.id, self.path)
         match fault:
             case "reset-early" | "reset-late":
                 _reset(self.connection)
             case "hang":
-                self._is_left(arrival, HANG_LIMIT_S)
+                self._wait_for_close(arrival, HANG_LIMIT_S)
             case "garbled":
                 self.wfile.write(b"HTTP/1.1 2x0 ?\r\n\r\n" + body)
             case "fail":
@@ -141,39 +141,39 @@
                 self._reply(200, body)
                 self._reply(200, b"a second answer")
             case "extra":
-                self._reply(200, b"an answer to an earlier request", identity="c0-0")
+                self._reply(200, b"an answer to an earlier request", request_id="c0-0")
                 self._reply(200, body)
             case _:
                 self._reply(200, body)
 
-    def _is_left(self, arrival: Arrival, seconds: float) -> bool:
-        """Be at work for so long, and tell whether the connection ended meanwhile."""
+    def _wait_for_close(self, arrival: Arrival, seconds: float) -> bool:
+        """Work on a request for a time; return whether its connection was closed meanwhile."""
         try:
-            left = is_readable(self.connection, seconds)
-        except (OSError, ValueError):  # closed by now
-            left = True
-        own = self.server.down or self.server.instance is not arrival.instance
-        arrival.cut = left and not own
-        self.close_connection |= left
-        return left
-
-    def _end(self, target: SoakTarget, arrival: Arrival) -> None:
-        """End the target; one that leaves only loses the request, as it ends by a schedule."""
+            closed = is_readable(self.connection, seconds)
+        except (OSError, ValueError):  # already closed
+            closed = True
+        ended_here = self.server.down or self.server.instance is not arrival.instance
+        arrival.cancelled = closed and not ended_here
+        self.close_connection |= closed
+        return closed
+
+    def _kill_target(self, target: SoakTarget, arrival: Arrival) -> None:
+        """Crash the target; a draining one only resets the request, as its restart is scheduled."""
         self.close_connection = True
-        if arrival.instance.left < inf:
+        if arrival.instance.draining_at < inf:
             _reset(self.connection)
         else:
-            target.history.ends.append(arrival.at)
-            target.end()
+            target.history.poison_crashes.append(arrival.at)
+            target.kill()
 
-    def _reply(self, status: int, body: bytes, headers: str = "", identity: str = "") -> None:
-        identity = identity or self.headers["Request-Id"]
-        head = f"HTTP/1.1 {status} Status\r\nRequest-Id: {identity}\r\n{headers}"
+    def _reply(self, status: int, body: bytes, headers: str = "", request_id: str = "") -> None:
+        request_id = request_id or self.headers["Request-Id"]
+        head = f"HTTP/1.1 {status} Status\r\nRequest-Id: {request_id}\r\n{headers}"
         self.wfile.write(f"{head}Content-Length: {len(body)}\r\n\r\n".encode() + body)
 
 
 def is_readable(sock: socket.socket, seconds: float) -> bool:
-    """Wait so long for bytes or an end; also for descriptors that `select` does not take."""
+    """Wait for data or the end of a connection; `poll` takes descriptors that `select` refuses."""
     poller = select.poll()
     poller.register(sock, select.POLLIN)
     return bool(poller.poll(seconds * 1000.0))
@@ -181,6 +181,6 @@
 
 def _reset(sock: socket.socket) -> None:
     with contextlib.suppress(OSError):
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
         sock.shutdown(socket.SHUT_RD)
         sock.close()
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The fault soak: its checks see made-up faults, and a short run is clean."""
+"""The fault soak: its checker finds violations in made-up histories, and short runs have none."""
 
 import base64
 import time
@@ -6,166 +6,198 @@
 
 import pytest
 
-from soak.__main__ import play
+from soak.__main__ import run_soak
 from soak.checker import (
-    ENOUGH,
+    CUT_FROM_S,
     GRACE_S,
     IN_FORCE_S,
-    LAST_S,
-    PAUSED_S,
-    SENT_S,
-    SETTLED_S,
+    MAX_PAUSE_S,
+    MIN_REQUESTS_PER_TARGET,
+    SENT_BY_S,
+    SETTLE_S,
     SLACK_S,
-    Finding,
+    Violation,
     check,
 )
 from soak.history import (
     CLOSED,
-    GARBLED,
+    MALFORMED,
     Arrival,
-    Configured,
+    ConfigWrite,
+    Disturbance,
     History,
     Instance,
-    Life,
+    NodeProcess,
     Request,
-    Trouble,
 )
-from soak.plan import LANES, RESTORED, plan
+from soak.plan import FAULT_GROUPS, STORE_RESTORED, plan
 from soak.seeds import REGRESSIONS
 from soak.store import FaultyStore
-from soak.target import ENDING
+from soak.target import POISON_PATH
 
 SHORT, NET = (1, 8.0, 4), 61
-ENDING_RUN = (501, 12.0, 6, True, False)
-RESTORED_RUN = (1002, 15.0, 5, False, True)
+POISON_RUN = (501, 12.0, 6, True, False)
+RESTORE_RUN = (1002, 15.0, 5, False, True)
 REPLACED = "replaced"
-Findings = list[Finding]
+Violations = list[Violation]
 
 
-class Past(History):
-    """A made-up history without a fault: one request that ran once and was told so."""
+class SampleHistory(History):
+    """A made-up history without violations, with one request that ran once and got its response."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.began = 0.0
-        self.lives.append(Life("node-1", stopping=50.0, ended=53.0))
+        self.started_at = 0.0
+        self.node_processes.append(NodeProcess("node-1", sigterm_at=50.0, exited_at=53.0))
         for name in ("red-1", "red-2", "blue-1"):
-            self.instances.append(Instance(name, name[:-2], "node-2", born=-9.0))
-        self.configurations.append(Configured(0.0, 1, {"b": "red", "e": "red"}))
-        self.one = self.add(10.0)
+            self.instances.append(Instance(name, name[:-2], "node-2", published_at=-9.0))
+        self.configurations.append(ConfigWrite(0.0, 1, {"b": "red", "e": "red"}))
+        self.request = self.add(10.0)
 
     def add(self, at: float, status: int = 200, *, runs: int = 1, target: int = 0) -> Request:
-        """Add a request that must not repeat."""
-        request = Request(f"r{len(self.requests)}", "b", False, self.lives[0], at, at + 0.5)
-        request.status, request.whole = status, status == 200
-        request.arrivals += [Arrival(at + 0.1, self.instances[target], done=at + 0.4)] * runs
+        """Add a request that is not repeatable."""
+        request = Request(
+            f"r{len(self.requests)}", "b", False, self.node_processes[0], at, at + 0.5
+        )
+        request.status, request.body_matches = status, status == 200
+        request.arrivals += [Arrival(at + 0.1, self.instances[target], finished_at=at + 0.4)] * runs
         self.requests[request.id] = request
         return request
 
-    def move(self, at: float) -> "Past":
-        """Move the route to the other service."""
-        self.configurations.append(Configured(at, 2, {"b": "blue"}))
+    def move(self, at: float) -> "SampleHistory":
+        """Move the route to the other service in a second configuration."""
+        self.configurations.append(ConfigWrite(at, 2, {"b": "blue"}))
         return self
 
-    def stopped(self, asked: float, early_s: float, status: int = 0) -> Request:
-        """Add a request that is cut, or answered so, while its target is at work in a stop."""
-        cut_at = 50.0 + LAST_S + 0.5 + early_s
-        request = self.add(asked, status)
-        request.route, request.told, request.lost = "e", cut_at, "" if status else CLOSED
-        request.arrivals = [Arrival(asked + 0.1, self.instances[0], done=cut_at, cut=True)]
-        self.lives[0].ended = 50.0 + LAST_S + 0.5
+    def add_cut_request(self, sent_at: float, offset_s: float, status: int = 0) -> Request:
+        """Add a request that is cut, or gets `status`, while its target works during a shutdown."""
+        cut_at = 50.0 + CUT_FROM_S + 0.5 + offset_s
+        request = self.add(sent_at, status)
+        request.route, request.ended_at, request.error = "e", cut_at, "" if status else CLOSED
+        request.arrivals = [
+            Arrival(sent_at + 0.1, self.instances[0], finished_at=cut_at, cancelled=True)
+        ]
+        self.node_processes[0].exited_at = 50.0 + CUT_FROM_S + 0.5
         return request
 
-    def pause(self, begin: float, end: float) -> "Past":
-        """Have the node stand still."""
-        self.troubles.append(Trouble("node-1", "pause", begin, end))
+    def pause(self, begin: float, end: float) -> "SampleHistory":
+        """Pause the node."""
+        self.disturbances.append(Disturbance("node-1", "pause", begin, end))
         return self
 
-    def kill(self, at: float) -> "Past":
-        """Have the node be killed."""
-        self.lives[0].killed, self.lives[0].ended = True, at
+    def kill(self, at: float) -> "SampleHistory":
+        """Kill the node as a fault."""
+        self.node_processes[0].killed, self.node_processes[0].exited_at = True, at
         return self
 
-    def kill_late(self) -> "Past":
-        """Have the node be there at the end of its grace time."""
-        self.lives[0].overdue, self.lives[0].ended = True, 50.0 + GRACE_S
-        self.lives[0].code = -9
+    def kill_late(self) -> "SampleHistory":
+        """Kill the node at the end of its grace period."""
+        self.node_processes[0].overdue, self.node_processes[0].exited_at = True, 50.0 + GRACE_S
+        self.node_processes[0].exit_code = -9
         return self
 
-    def end_beside(self, at: float) -> "Past":
-        """Let the node beside the targets end."""
-        self.lives.append(Life("node-2", stopping=at - 1.0, ended=at))
+    def stop_peer(self, at: float) -> "SampleHistory":
+        """Stop the node on the VM of the targets."""
+        self.node_processes.append(NodeProcess("node-2", sigterm_at=at - 1.0, exited_at=at))
         return self
 
-    def end(self, at: float) -> Request:
-        """Let three targets have ended; return what came later."""
-        self.ends += [at - 2.0, at - 1.0, at]
-        return self.one
-
-
-FAULTS: tuple[tuple[str, Callable[[Past], object]], ...] = (
-    ("answer", lambda past: setattr(past.one, "whole", False)),
-    ("answer", lambda past: setattr(past.one, "lost", GARBLED)),
-    ("answer", lambda past: past.add(11.0, 404, runs=0)),
-    ("at most once", lambda past: past.add(11.0, runs=2)),
-    ("not run", lambda past: past.add(11.0, 503)),
-    ("cut", lambda past: setattr(past.one, "lost", CLOSED)),
-    ("cut", lambda past: setattr(past.stopped(50.0, 0.0), "arrivals", [])),
-    ("cut", lambda past: past.stopped(50.0, -0.6)),
-    ("cut", lambda past: past.stopped(50.0 + SENT_S + 0.1, 0.0)),
-    ("cut", lambda past: setattr(past.stopped(50.0, 0.0).arrivals[0], "done", 52.0)),
-    ("cut", lambda past: past.pause(50.0, 50.0 + PAUSED_S - 0.1).stopped(50.0, -1.5)),
-    ("cut", lambda past: setattr(past.kill(55.0).one, "lost", CLOSED)),
-    (REPLACED, lambda past: past.stopped(50.0, -2.0, 504)),
-    (REPLACED, lambda past: setattr(past.stopped(50.0, -2.0, 504).arrivals[0], "done", 60.0)),
-    ("leaving", lambda past: setattr(past.instances[0], "left", 10.0 - IN_FORCE_S - SLACK_S)),
-    ("in force (2)", lambda past: past.move(10.0 - IN_FORCE_S - SLACK_S)),
-    ("in force (2)", lambda past: past.move(20.0).add(20.2, target=2) and past.add(21.0)),
-    ("end", lambda past: setattr(past.lives[0], "code", 1)),
-    ("end", lambda past: past.kill_late()),
-    ("end", lambda past: setattr(past.pause(50.0, 51.0).lives[0], "code", 1)),
-    ("ends", lambda past: setattr(past.end(10.0 - SETTLED_S - SLACK_S), "path", f"/b{ENDING}")),
-    ("share", lambda past: [past.add(12.0 + n / 12.0) for n in range(4 * ENOUGH)]),
+    def crash_targets(self, at: float) -> Request:
+        """Let the poison request crash three targets, and return the request."""
+        self.poison_crashes += [at - 2.0, at - 1.0, at]
+        return self.request
+
+
+FAULTS: tuple[tuple[str, Callable[[SampleHistory], object]], ...] = (
+    ("answer", lambda history: setattr(history.request, "body_matches", False)),
+    ("answer", lambda history: setattr(history.request, "error", MALFORMED)),
+    ("answer", lambda history: history.add(11.0, 404, runs=0)),
+    ("at most once", lambda history: history.add(11.0, runs=2)),
+    ("not run", lambda history: history.add(11.0, 503)),
+    ("cut", lambda history: setattr(history.request, "error", CLOSED)),
+    ("cut", lambda history: setattr(history.add_cut_request(50.0, 0.0), "arrivals", [])),
+    ("cut", lambda history: history.add_cut_request(50.0, -0.6)),
+    ("cut", lambda history: history.add_cut_request(50.0 + SENT_BY_S + 0.1, 0.0)),
+    (
+        "cut",
+        lambda history: setattr(
+            history.add_cut_request(50.0, 0.0).arrivals[0], "finished_at", 52.0
+        ),
+    ),
+    (
+        "cut",
+        lambda history: history.pause(50.0, 50.0 + MAX_PAUSE_S - 0.1).add_cut_request(50.0, -1.5),
+    ),
+    ("cut", lambda history: setattr(history.kill(55.0).request, "error", CLOSED)),
+    (REPLACED, lambda history: history.add_cut_request(50.0, -2.0, 504)),
+    (
+        REPLACED,
+        lambda history: setattr(
+            history.add_cut_request(50.0, -2.0, 504).arrivals[0], "finished_at", 60.0
+        ),
+    ),
+    (
+        "leaving",
+        lambda history: setattr(history.instances[0], "draining_at", 10.0 - IN_FORCE_S - SLACK_S),
+    ),
+    ("in force (2)", lambda history: history.move(10.0 - IN_FORCE_S - SLACK_S)),
+    ("in force (2)", lambda history: history.move(20.0).add(20.2, target=2) and history.add(21.0)),
+    ("end", lambda history: setattr(history.node_processes[0], "exit_code", 1)),
+    ("end", lambda history: history.kill_late()),
+    ("end", lambda history: setattr(history.pause(50.0, 51.0).node_processes[0], "exit_code", 1)),
+    (
+        "ends",
+        lambda history: setattr(
+            history.crash_targets(10.0 - SETTLE_S - SLACK_S), "path", f"/b{POISON_PATH}"
+        ),
+    ),
+    (
+        "share",
+        lambda history: [history.add(12.0 + n / 12.0) for n in range(4 * MIN_REQUESTS_PER_TARGET)],
+    ),
 )
-ALLOWED: tuple[Callable[[Past], object], ...] = (
-    lambda past: None,
-    lambda past: past.stopped(50.0, 0.0),
-    lambda past: past.stopped(50.0, 0.0, 504),
-    lambda past: setattr(past.stopped(50.0, -2.0, 504), "limit_s", 3.6),
-    lambda past: setattr(past.kill(10.6).one, "lost", CLOSED),
-    lambda past: past.end_beside(53.4).stopped(50.0, -2.0, 504),
-    lambda past: past.pause(51.0, 52.0).kill_late(),
-    lambda past: past.pause(50.0, 55.0).kill_late().stopped(50.0, 0.0),
+ALLOWED: tuple[Callable[[SampleHistory], object], ...] = (
+    lambda history: None,
+    lambda history: history.add_cut_request(50.0, 0.0),
+    lambda history: history.add_cut_request(50.0, 0.0, 504),
+    lambda history: setattr(history.add_cut_request(50.0, -2.0, 504), "deadline_s", 3.6),
+    lambda history: setattr(history.kill(10.6).request, "error", CLOSED),
+    lambda history: history.stop_peer(53.4).add_cut_request(50.0, -2.0, 504),
+    lambda history: history.pause(51.0, 52.0).kill_late(),
+    lambda history: history.pause(50.0, 55.0).kill_late().add_cut_request(50.0, 0.0),
 )
 
 
-@pytest.mark.parametrize(("promise", "fault"), [*(("", fault) for fault in ALLOWED), *FAULTS])
-def test_a_broken_promise_is_found(promise: str, fault: Callable[[Past], object]) -> None:
-    """Each fault of a history is found as just what it is, and none is found without."""
-    past = Past()
-    fault(past)
-    assert {finding.promise for finding in check(past)} == ({promise} if promise else set())
+@pytest.mark.parametrize(("invariant", "fault"), [*(("", fault) for fault in ALLOWED), *FAULTS])
+def test_checker_finds_each_violation(
+    invariant: str, fault: Callable[[SampleHistory], object]
+) -> None:
+    """Each fault in a history violates just its invariant, and allowed faults violate none."""
+    history = SampleHistory()
+    fault(history)
+    assert {violation.invariant for violation in check(history)} == (
+        {invariant} if invariant else set()
+    )
 
 
-# Guards against a stand-in that hides changes, which looks like a node that misses them.
-def test_a_stale_store_tells_the_events_that_it_has_or_that_they_are_gone() -> None:
-    """Its copy keeps what came before it, and the point from which history is kept."""
+# Guards against a stand-in that hides changes: the checker would blame the nodes for missing them.
+def test_stale_store_returns_its_events_or_reports_them_gone() -> None:
+    """The stale copy keeps earlier events and the oldest revision a watch may start from."""
     store = FaultyStore()
     for number in range(3):
         store.put("a", number)
-    store.fail("")
-    store.fail("store-stale")
-    found = store.watch("", 1, 0.0)
-    assert found is not None
-    assert [event["Revision"] for event in found["events"]] == [2, 3]
-    store.fail("store-forgets")
-    store.fail("")
-    store.fail("store-stale")
+    store.set_fault("")
+    store.set_fault("store-stale")
+    answer = store.watch("", 1, 0.0)
+    assert answer is not None
+    assert [event["Revision"] for event in answer["events"]] == [2, 3]
+    store.set_fault("store-forgets")
+    store.set_fault("")
+    store.set_fault("store-stale")
     assert store.watch("", 1, 0.0) is None
 
 
-def test_what_a_restoration_lost_is_written_again_unless_it_was_written_since() -> None:
-    """Items and ends of items; the store goes back to the backup in between."""
+def test_lost_writes_are_repeated_after_a_restore_unless_overwritten() -> None:
+    """A restore reverts writes and removals; the repetition keeps writes made since the restore."""
     store = FaultyStore()
     store.put("kept", 1)
     store.put("ended", 1)
@@ -176,37 +208,39 @@
     store.restore_from(0.04)
     assert (store.revision, store.era, set(store.items)) == (2, 1, {"kept", "ended"})
     store.put("newer", 3)
-    store.write_again()
+    store.rewrite_lost()
     values = {key: base64.b64decode(item["Value"]) for key, item in store.items.items()}
     assert values == {"kept": b"2", "new": b"2", "newer": b"3"}
 
 
-def test_the_schedule_comes_from_the_seed() -> None:
-    """The same for the same seed, another for another, and all faults over some of them."""
+def test_schedule_depends_on_the_seed() -> None:
+    """Equal seeds give equal schedules, other seeds others, and 40 seeds cover all faults."""
     assert plan(*SHORT) == plan(*SHORT) != plan(2, *SHORT[1:])
-    faults = {fault for lane in LANES for fault in lane.faults}
-    for restorations, more in ((False, set()), (True, {RESTORED})):
+    faults = {fault for group in FAULT_GROUPS for fault in group.faults}
+    for restorations, more in ((False, set()), (True, {STORE_RESTORED})):
         plans = [plan(seed, 15.0, 5, restorations=restorations) for seed in range(40)]
         assert {step.fault for steps in plans for step in steps} == faults | more
 
 
-RUNS = [*((*run, False, False) for run in (SHORT, *REGRESSIONS)), ENDING_RUN, RESTORED_RUN]
+RUNS = [*((*run, False, False) for run in (SHORT, *REGRESSIONS)), POISON_RUN, RESTORE_RUN]
 
 
 @pytest.fixture(scope="module", params=RUNS, ids=lambda run: f"seed{run[0]}-{run[2]}")
-def findings(request: pytest.FixtureRequest, tmp_path_factory: pytest.TempPathFactory) -> Findings:
-    """Play a short run, those that broke a promise, and two with faults that are drawn apart."""
+def violations(
+    request: pytest.FixtureRequest, tmp_path_factory: pytest.TempPathFactory
+) -> Violations:
+    """Run a short soak, seeds of past faults, a poison request, and restorations of the store."""
     seed, seconds, processes, ending, restorations = request.param
     logs = tmp_path_factory.mktemp(f"seed{seed}")
     options = {"ending": ending, "restorations": restorations}
-    return play(seed, seconds, processes, net=NET, logs=logs, **options)
+    return run_soak(seed, seconds, processes, net=NET, logs=logs, **options)
 
 
-def test_a_run_breaks_no_promise(findings: Findings) -> None:
-    """Real processes keep all of them but the one below."""
-    assert [finding for finding in findings if finding.promise != REPLACED] == []
+def test_run_has_no_violation(violations: Violations) -> None:
+    """Real processes violate no invariant; the test below checks the one left out here."""
+    assert [violation for violation in violations if violation.invariant != REPLACED] == []
 
 
-def test_a_run_replaces_no_answer(findings: Findings) -> None:
-    """No node that stops tells of a failure while a target is at work on the answer."""
-    assert [finding for finding in findings if finding.promise == REPLACED] == []
+def test_run_replaces_no_response(violations: Violations) -> None:
+    """No stopping node reports a failure while the target is still working on the response."""
+    assert [violation for violation in violations if violation.invariant == REPLACED] == []
