--- a/soak/store.py
+++ b/soak/store.py
@@ -69,10 +69,10 @@
             self.status = 503 if fault in UNAVAILABLE else 200
             if not fault:
                 self._stale_copy = StoreState()
-                self._stale_copy.history_from = self.history_from
+                self._stale_copy.oldest_revision = self.oldest_revision
                 self._stale_copy.restore(self.backup())
             if fault == "store-forgets":
-                self.forget()
+                self.discard_history()
             self.changed.notify_all()
 
     def range(self, prefix: str, after: str) -> dict[str, Any]:
--- a/stand_ins/store.py
+++ b/stand_ins/store.py
@@ -25,7 +25,7 @@
 class StoreState:
     """What the store holds; safe for any thread.
 
-    `status` other than 200 answers every call, `history_from` is the oldest revision a watch may
+    `status` other than 200 answers every call, `oldest_revision` is the oldest revision a watch may
     start from, `calls` counts all calls, `page_items` is how many items a page holds at most.
     `era` counts the restorations from a backup; a store that does not report it has `None`.
     """
@@ -35,7 +35,7 @@
         self.revision = 0
         self.items: dict[str, dict[str, Any]] = {}
         self.events: list[dict[str, Any]] = []
-        self.history_from = 0
+        self.oldest_revision = 0
         self.status = 200
         self.calls = 0
         self.page_items = PAGE_ITEMS
@@ -65,10 +65,10 @@
             self.events.append({"TlsKey": key, "Revision": self.revision, "Deleted": True})
             self.changed.notify_all()
 
-    def forget(self) -> None:
+    def discard_history(self) -> None:
         """Lose the history."""
         with self.changed:
-            self.history_from = self.revision
+            self.oldest_revision = self.revision
             self.events.clear()
 
     def backup(self) -> StoreBackup:
@@ -81,7 +81,7 @@
         with self.changed:
             self.revision = backup.revision
             self.items, self.events = dict(backup.items), list(backup.events)
-            self.history_from = min(self.history_from, backup.revision)
+            self.oldest_revision = min(self.oldest_revision, backup.revision)
             self.era = (self.era or 0) + 1
             self.changed.notify_all()
 
@@ -97,19 +97,19 @@
         """Wait for events after a revision; `None` if that history is gone or never was."""
         deadline = clock.now() + wait_s
         with self.changed:
-            era = self.era
+            start_era = self.era
             while True:
-                if after < self.history_from or after > self.revision or era != self.era:
+                if after < self.oldest_revision or after > self.revision or start_era != self.era:
                     return None
                 found = [
                     event
                     for event in self.events
                     if event["Revision"] > after and event["TlsKey"].startswith(prefix)
                 ]
-                left = deadline - clock.now()
-                if found or left <= 0.0:
+                remaining_s = deadline - clock.now()
+                if found or remaining_s <= 0.0:
                     return {"events": found, "AtRev": self.revision}
-                self.changed.wait(left)
+                self.changed.wait(remaining_s)
 
 
 class _StoreGateway(WebGateway):
@@ -125,16 +125,16 @@
         query = {name: values[0] for name, values in parse_qs(parts.query).items()}
         prefix = query.get("PathPrefix", "")
         if parts.path == "/v1/kv-range":
-            found: dict[str, Any] | None = state.range(prefix, query.get("after", ""))
+            response: dict[str, Any] | None = state.range(prefix, query.get("after", ""))
         else:
             wait_s = int(query["WaitMs"]) / 1000.0
-            found = state.watch(prefix, int(query["after"]), wait_s)
+            response = state.watch(prefix, int(query["after"]), wait_s)
         if state.status != 200:  # it went away while a watch waited
             self._reply(state, state.status, b"")
-        elif found is None:
+        elif response is None:
             self._reply(state, 410, b"")
         else:
-            self._reply(state, 200, json.dumps(found).encode())
+            self._reply(state, 200, json.dumps(response).encode())
 
     def _reply(self, state: StoreState, status: int, body: bytes) -> None:
         headers = [("Content-Type", "application/json")] if body else []
@@ -175,8 +175,10 @@
         customers: Rows of name, keys, requests a second and burst; `None` for no customers.
     """
     columns = ["Name", "ApiKeys", "RatePerS", "Burst"]
-    named = {} if customers is None else {"Tenants": {"Columns": columns, "Rows": customers}}
-    return _config(version, rows, services) | named
+    customer_table = (
+        {} if customers is None else {"Tenants": {"Columns": columns, "Rows": customers}}
+    )
+    return _config(version, rows, services) | customer_table
 
 
 def _config(version: int, rows: list[list[Any]], services: tuple[str, ...]) -> dict[str, Any]:
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -136,7 +136,7 @@
 def test_a_forgotten_history_and_refusals_are_told_apart(bench: Bench) -> None:
     """Only a snapshot helps with the one, only time with the other."""
     bench.state.put("op/config", config(5, [ROW]))
-    bench.state.forget()
+    bench.state.discard_history()
     with pytest.raises(HistoryLostError):
         bench.client.watch(Position(0, 1), 0.05)
     bench.state.status = 429
@@ -160,7 +160,7 @@
     bench.client.snapshot()
     bench.client.watch(Position(4, 2), 0.01)
     bench.state.restore(bench.state.backup())
-    bench.state.forget()
+    bench.state.discard_history()
     with pytest.raises(HistoryLostError):
         bench.client.watch(Position(4, 9), 0.01)
     assert told() == [(0, 4), (4, 5)]
--- a/tests/test_platform_reader.py
+++ b/tests/test_platform_reader.py
@@ -106,7 +106,7 @@
         bench.state.put("op/config", config(6, [ROW]))
         bench.state.put("servers/i-2", entry("10.0.0.2:80"))
         bench.state.put("servers/bad", b"no entry")
-        bench.state.forget()
+        bench.state.discard_history()
         time.sleep(0.5)
         assert {fleet.revision for fleet in followed.fleets} == {4}
         bench.state.status = 200
@@ -131,7 +131,7 @@
         followed.wait_for(lambda fleet: "i-2" in fleet.targets)
         with bench.state.changed:
             bench.state.delete("servers/i-2")
-            bench.state.forget()
+            bench.state.discard_history()
         followed.wait_for(lambda fleet: "i-2" not in fleet.targets, BOUND_S)
     finally:
         ref.stop()
@@ -156,7 +156,7 @@
         put(b"no entry", "i-2")
         put(b"no entry", "i-3")
         assert len(told()) == 1
-        bench.state.forget()
+        bench.state.discard_history()
         put(b"no entry", "i-4")
         assert len(told()) == 1
         put({}, "i-5")
@@ -200,7 +200,7 @@
     try:
         followed.wait_for(lambda fleet: fleet.revision == 4)
         bench.state.put("op/config", config(6, [ROW]))
-        bench.state.forget()
+        bench.state.discard_history()
         deadline = clock.now() + LIMIT_S
         while not any(fleet.revision == 6 for fleet in followed.fleets):
             assert clock.now() < deadline, "not in time"
@@ -224,7 +224,7 @@
         followed.wait_for(lambda fleet: fleet.revision == 4)
         bench.state.put("op/config", config(6, [ROW]))
         whole = News(bench.client.snapshot(), clock.now())
-        bench.state.forget()
+        bench.state.discard_history()
         bench.state.range = lambda prefix, after: {"items": None}  # type: ignore[method-assign]
         deadline = clock.now() + LIMIT_S
         while not any(fleet.revision == 6 for fleet in followed.fleets):
