--- a/examples/demo.py
+++ b/examples/demo.py
@@ -16,18 +16,18 @@
 BUCKET_S = 1.0
 
 
-class Show(NamedTuple):
+class Demo(NamedTuple):
     """What one fleet shows."""
 
     fleet: str
     loads: tuple[Load, ...]
     target: str
     behaviour: dict[str, object]
-    words: str
+    description: str
 
 
-SHOWS = (
-    Show(
+DEMOS = (
+    Demo(
         "granthsetu",
         (
             Load("GET", "/opac/search", 60.0),
@@ -38,7 +38,7 @@
         {"hang": True},
         "it answers probes and times out all work",
     ),
-    Show(
+    Demo(
         "lisbon",
         (
             Load("GET", "/vitrine/catalogue", 60.0),
@@ -52,32 +52,32 @@
 )
 
 
-def run(show: Show) -> bool:
+def run(demo: Demo) -> bool:
     """Run one fleet.
 
     Returns:
         Whether no promise was broken.
     """
-    launcher = Launcher.from_example(show.fleet)
+    launcher = Launcher.from_example(demo.fleet)
     nodes, targets = len(launcher.vms), len(launcher.fleet.targets)
-    print(f"\n== {show.fleet}: {nodes} nodes, {targets} targets, one platform, all processes")
+    print(f"\n== {demo.fleet}: {nodes} nodes, {targets} targets, one platform, all processes")
     with launcher as fleet:
         print("   all nodes are ready; traffic starts")
         caller = Caller([fleet.ingress(vm) for vm in fleet.vms[:4]], threads=8)
         started = clock.now()
-        traffic = threading.Thread(target=caller.run, args=(show.loads, WARM_S + GRAY_S))
+        traffic = threading.Thread(target=caller.run, args=(demo.loads, WARM_S + GRAY_S))
         traffic.start()
         time.sleep(WARM_S)
-        print(f"   {show.target} goes gray: {show.words}")
-        fleet.target_control(show.target, **show.behaviour)
+        print(f"   {demo.target} goes gray: {demo.description}")
+        fleet.target_control(demo.target, **demo.behaviour)
         traffic.join()
-        _print_share(show, caller.results, fleet, started)
-        _print_trail(show, fleet)
-        return _print_promises(show, caller.results, fleet)
+        _print_share(demo, caller.results, fleet, started)
+        _print_audit(demo, fleet)
+        return _print_invariants(demo, caller.results, fleet)
 
 
-def _print_share(show: Show, results: Sequence[Result], fleet: Launcher, started: float) -> None:
-    service = fleet.fleet.targets[show.target].service
+def _print_share(demo: Demo, results: Sequence[Result], fleet: Launcher, started: float) -> None:
+    service = fleet.fleet.targets[demo.target].service
     peers = {target.name for target in fleet.fleet.targets_of(service)}
     total: Counter[int] = Counter()
     own: Counter[int] = Counter()
@@ -85,45 +85,45 @@
         if result.target in peers:
             second = int((result.started - started) / BUCKET_S)
             total[second] += 1
-            own[second] += result.target == show.target
-    print(f"   answers of {service} that came from {show.target}, second by second:")
+            own[second] += result.target == demo.target
+    print(f"   answers of {service} that came from {demo.target}, second by second:")
     for second in sorted(total):
         share = own[second] / total[second]
         mark = "  <- gray" if second == int(WARM_S) else ""
         print(f"   {second:3d} s {100 * share:5.1f}% {'#' * int(40 * share)}{mark}")
 
 
-def _print_trail(show: Show, fleet: Launcher) -> None:
+def _print_audit(demo: Demo, fleet: Launcher) -> None:
     print("   the audit trail of the nodes that sent to it:")
     for vm in fleet.vms[:4]:
         for event in fleet.admin(vm, "/audit"):
-            if event["subject"] == show.target and "ejected" in event["evidence"]:
+            if event["subject"] == demo.target and "ejected" in event["evidence"]:
                 print(f"   {vm}: {event['kind']} {event['subject']}: {event['evidence']}")
                 break
 
 
-def _print_promises(show: Show, results: Sequence[Result], fleet: Launcher) -> bool:
-    begun: Counter[str] = Counter()
+def _print_invariants(demo: Demo, results: Sequence[Result], fleet: Launcher) -> bool:
+    runs: Counter[str] = Counter()
     for name in fleet.fleet.targets:
-        begun.update(fleet.ledger(name)["begun"])
-    methods = {load.path: load.method for load in show.loads}
-    twice = sum(begun[r.id] > 1 for r in results if methods[r.path] == "POST")
-    after = sum(begun[r.id] > 0 for r in results if r.outcome == "not-run")
+        runs.update(fleet.ledger(name)["begun"])
+    methods = {load.path: load.method for load in demo.loads}
+    repeated = sum(runs[r.id] > 1 for r in results if methods[r.path] == "POST")
+    ran_after_refusal = sum(runs[r.id] > 0 for r in results if r.outcome == "not-run")
     wrong = sum(result.wrong for result in results)
     outcomes = Counter(f"{r.status} {r.outcome} {r.reason}".strip() for r in results)
     print(f"   outcomes: {dict(outcomes)}")
     print(
-        f"   by the targets' own ledgers: {twice} not repeatable run twice, "
-        f"{after} run after not-run, {wrong} wrong answers"
+        f"   by the targets' own ledgers: {repeated} not repeatable run twice, "
+        f"{ran_after_refusal} run after not-run, {wrong} wrong answers"
     )
-    return not twice and not after and not wrong
+    return not repeated and not ran_after_refusal and not wrong
 
 
 def main() -> int:
     """Run both shows."""
-    kept = [run(show) for show in SHOWS]
-    print("\nevery promise was kept" if all(kept) else "\nA PROMISE WAS BROKEN")
-    return 0 if all(kept) else 1
+    passed = [run(demo) for demo in DEMOS]
+    print("\nevery promise was kept" if all(passed) else "\nA PROMISE WAS BROKEN")
+    return 0 if all(passed) else 1
 
 
 if __name__ == "__main__":
--- a/stand_ins/caller.py
+++ b/stand_ins/caller.py
@@ -72,8 +72,8 @@
         threads = []
         for load in loads:
             for index in range(self._threads):
-                plan = self._plan(load, index, stop_at)
-                threads.append(threading.Thread(target=plan, daemon=True))
+                sender = self._sender(load, index, stop_at)
+                threads.append(threading.Thread(target=sender, daemon=True))
         for thread in threads:
             thread.start()
         for thread in threads:
@@ -93,21 +93,21 @@
                 load.method, path, body=body, headers=headers, retries=False, redirect=False
             )
         except urllib3.exceptions.HTTPError as error:
-            result = _lost(request_id, load.path, started, type(error).__name__)
+            result = _failed(request_id, load.path, started, type(error).__name__)
         else:
-            result = _judge(request_id, load.path, path, started, response)
+            result = _check_response(request_id, load.path, path, started, response)
         self.results.append(result)
         return result
 
-    def _plan(self, load: Load, index: int, stop_at: float) -> Callable[[], None]:
+    def _sender(self, load: Load, index: int, stop_at: float) -> Callable[[], None]:
         interval = self._threads / load.rate
 
         def send_all() -> None:
             next_at = clock.now() + interval * index / self._threads
             while next_at < stop_at:
-                pause = next_at - clock.now()
-                if pause > 0.0:
-                    time.sleep(pause)
+                delay = next_at - clock.now()
+                if delay > 0.0:
+                    time.sleep(delay)
                 self.send(load, intended=next_at)
                 next_at += interval
 
@@ -128,7 +128,7 @@
     }
 
 
-def _judge(
+def _check_response(
     request_id: str, route: str, path: str, started: float, response: urllib3.BaseHTTPResponse
 ) -> Result:
     latency_s = clock.now() - started
@@ -147,9 +147,9 @@
     )
 
 
-def _lost(request_id: str, route: str, started: float, why: str) -> Result:
+def _failed(request_id: str, route: str, started: float, error: str) -> Result:
     latency_s = clock.now() - started
-    return Result(request_id, route, 0, "lost", why, "", started, latency_s, False)
+    return Result(request_id, route, 0, "lost", error, "", started, latency_s, False)
 
 
 def _split(address: str) -> tuple[str, int]:
--- a/stand_ins/platform.py
+++ b/stand_ins/platform.py
@@ -49,8 +49,8 @@
     def newest(self) -> dict[str, Any] | None:
         """Return the manifest that a read shows now."""
         if self.stale is not None:
-            shown = [m for m in self.manifests if m["revision"] <= self.stale]
-            return shown[-1] if shown else None
+            visible = [m for m in self.manifests if m["revision"] <= self.stale]
+            return visible[-1] if visible else None
         return self.manifests[-1] if self.manifests else None
 
     def watch(self, after: int, wait_s: float) -> dict[str, Any] | None:
@@ -61,10 +61,10 @@
                 newest = self.newest()
                 if newest is not None and newest["revision"] > after:
                     return newest
-                left = deadline - clock.now()
-                if left <= 0.0 or self.down:
+                remaining_s = deadline - clock.now()
+                if remaining_s <= 0.0 or self.down:
                     return None
-                self.lock.wait(left)
+                self.lock.wait(remaining_s)
 
 
 class _PlatformGateway(WebGateway):
--- a/stand_ins/target.py
+++ b/stand_ins/target.py
@@ -40,7 +40,7 @@
     cut_answers: bool = False
     body_bytes: int = 0
 
-    def sick_now(self, caller: str) -> bool:
+    def is_faulty(self, caller: str) -> bool:
         """Tell whether the faults apply to this caller at this moment."""
         if self.flap_s and int(clock.now() / self.flap_s) % 2:
             return False
@@ -58,7 +58,7 @@
         self.lock = threading.Lock()
         self.begun: Counter[str] = Counter()
         self.finished: Counter[str] = Counter()
-        self.cut = 0
+        self.cancelled = 0
         self.served = 0
 
     def begin(self, request_id: str) -> None:
@@ -97,16 +97,16 @@
         body = self.body()
         state.begin(request_id)
         behaviour = state.behaviour
-        sick = behaviour.sick_now(self.header("X-Ingress"))
-        if sick and (behaviour.hang or random.random() < behaviour.hang_share):
+        faulty = behaviour.is_faulty(self.header("X-Ingress"))
+        if faulty and (behaviour.hang or random.random() < behaviour.hang_share):
             self._hang(state)
             return
-        factor = behaviour.slow_factor if sick else 1.0
+        factor = behaviour.slow_factor if faulty else 1.0
         if clock.now() < state.cold_until:
             factor *= 3.0
         time.sleep(behaviour.median_ms / 1e3 * factor * random.lognormvariate(0, behaviour.spread))
         state.finish(request_id)
-        if sick and random.random() < behaviour.fail_share:
+        if faulty and random.random() < behaviour.fail_share:
             self.reply(500, [], b"failed")
             return
         answer = {
@@ -117,8 +117,8 @@
             "pad": "x" * behaviour.body_bytes,
         }
         content = json.dumps(answer).encode()
-        if sick and behaviour.cut_answers:
-            self._cut(content)
+        if faulty and behaviour.cut_answers:
+            self._truncate(content)
             return
         self.reply(200, [("Content-Type", "application/json")], content)
 
@@ -131,11 +131,11 @@
             if poller.poll(50):
                 break
         with state.lock:
-            state.cut += 1
+            state.cancelled += 1
         self.req.close_connection = True
         self.reply(500, [], b"cancelled", close=True)
 
-    def _cut(self, content: bytes) -> None:
+    def _truncate(self, content: bytes) -> None:
         req = self.req
         req.status = b"200 OK"
         req.outheaders = [(b"Content-Length", str(len(content)).encode())]
@@ -144,7 +144,7 @@
         req.write(content[: len(content) // 2])
 
     def _probe(self, state: TargetState) -> None:
-        healthy = state.behaviour.lying_probe or not state.behaviour.sick_now("")
+        healthy = state.behaviour.lying_probe or not state.behaviour.is_faulty("")
         self.reply(200 if healthy else 500, [], b"ok" if healthy else b"sick")
 
     def _control(self, state: TargetState, path: str) -> None:
@@ -158,7 +158,7 @@
                     "begun": dict(state.begun),
                     "finished": dict(state.finished),
                     "served": state.served,
-                    "cut": state.cut,
+                    "cut": state.cancelled,
                 }
             self.reply(200, [], json.dumps(ledger).encode())
         else:
