--- a/examples/__init__.py
+++ b/examples/__init__.py
@@ -1,1 +1,1 @@
-"""Sample fleets and the demonstration."""
+"""Sample fleets and the demonstration of `make demo`."""
--- a/examples/demo.py
+++ b/examples/demo.py
@@ -1,4 +1,4 @@
-"""`make demo`: both sample fleets as processes; a target goes gray and loses its traffic."""
+"""`make demo`: runs both sample fleets; in each a target fails gray and loses its traffic."""
 
 import sys
 import threading
@@ -17,7 +17,7 @@
 
 
 class Demo(NamedTuple):
-    """What one fleet shows."""
+    """The demonstration of one fleet: its load, and the target that fails and how."""
 
     fleet: str
     loads: tuple[Load, ...]
@@ -36,7 +36,7 @@
         ),
         "circulation-1",
         {"hang": True},
-        "it answers probes and times out all work",
+        "it answers health checks but times out all requests",
     ),
     Demo(
         "lisbon",
@@ -47,7 +47,7 @@
         ),
         "bancada-2",
         {"fail_share": 0.5},
-        "it fails half of its work",
+        "it fails half of its requests",
     ),
 )
 
@@ -56,19 +56,19 @@
     """Run one fleet.
 
     Returns:
-        Whether no promise was broken.
+        Whether all invariants held.
     """
     launcher = Launcher.from_example(demo.fleet)
     nodes, targets = len(launcher.vms), len(launcher.fleet.targets)
-    print(f"\n== {demo.fleet}: {nodes} nodes, {targets} targets, one platform, all processes")
+    print(f"\n== {demo.fleet}: {nodes} nodes, {targets} targets, one platform, each a process")
     with launcher as fleet:
-        print("   all nodes are ready; traffic starts")
+        print("   all nodes are ready; starting traffic")
         caller = Caller([fleet.ingress(vm) for vm in fleet.vms[:4]], threads=8)
         started = clock.now()
         traffic = threading.Thread(target=caller.run, args=(demo.loads, WARM_S + GRAY_S))
         traffic.start()
         time.sleep(WARM_S)
-        print(f"   {demo.target} goes gray: {demo.description}")
+        print(f"   {demo.target} starts to fail gray: {demo.description}")
         fleet.target_control(demo.target, **demo.behaviour)
         traffic.join()
         _print_share(demo, caller.results, fleet, started)
@@ -86,7 +86,7 @@
             second = int((result.started - started) / BUCKET_S)
             total[second] += 1
             own[second] += result.target == demo.target
-    print(f"   answers of {service} that came from {demo.target}, second by second:")
+    print(f"   responses of {service} that came from {demo.target}, by second:")
     for second in sorted(total):
         share = own[second] / total[second]
         mark = "  <- gray" if second == int(WARM_S) else ""
@@ -94,7 +94,7 @@
 
 
 def _print_audit(demo: Demo, fleet: Launcher) -> None:
-    print("   the audit trail of the nodes that sent to it:")
+    print("   the audit log of the nodes that sent to it:")
     for vm in fleet.vms[:4]:
         for event in fleet.admin(vm, "/audit"):
             if event["subject"] == demo.target and "ejected" in event["evidence"]:
@@ -113,16 +113,16 @@
     outcomes = Counter(f"{r.status} {r.outcome} {r.reason}".strip() for r in results)
     print(f"   outcomes: {dict(outcomes)}")
     print(
-        f"   by the targets' own ledgers: {repeated} not repeatable run twice, "
-        f"{ran_after_refusal} run after not-run, {wrong} wrong answers"
+        f"   by the targets' own ledgers: {repeated} not repeatable requests run twice, "
+        f"{ran_after_refusal} run after not-run, {wrong} wrong responses"
     )
     return not repeated and not ran_after_refusal and not wrong
 
 
 def main() -> int:
-    """Run both shows."""
+    """Run both demonstrations; return 1 if an invariant was violated."""
     passed = [run(demo) for demo in DEMOS]
-    print("\nevery promise was kept" if all(passed) else "\nA PROMISE WAS BROKEN")
+    print("\nall invariants held" if all(passed) else "\nAN INVARIANT WAS VIOLATED")
     return 0 if all(passed) else 1
 
 
--- a/stand_ins/__init__.py
+++ b/stand_ins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for what roadpass meets: the platform, targets and callers."""
+"""Small stand-ins for the outside systems: the platform, the store, targets and callers."""
--- a/stand_ins/caller.py
+++ b/stand_ins/caller.py
@@ -1,4 +1,4 @@
-"""Stand-in for callers: a bounded open load that checks every answer."""
+"""Stand-in for callers: an open-loop load of bounded concurrency that checks every response."""
 
 import argparse
 import itertools
@@ -21,7 +21,11 @@
 
 
 class Result(NamedTuple):
-    """What became of one request, as the caller sees it; times in seconds."""
+    """The outcome of one request as its caller sees it; times in seconds.
+
+    `started` is the intended send time, from which the latency counts. A request without a response
+    has status 0 and the outcome "lost"; `wrong` is set if the response belongs to another request.
+    """
 
     id: str
     path: str
@@ -35,7 +39,7 @@
 
 
 class Load(NamedTuple):
-    """One stream of requests."""
+    """One stream of requests at a constant rate per second."""
 
     method: str
     path: str
@@ -44,13 +48,14 @@
 
 
 class Caller:
-    """Sends requests at intended times through several addresses, each by chance.
+    """Sends requests at scheduled times, each to a random one of several addresses.
 
-    Taking turns would not do: loads of commensurable rates then keep to some addresses each.
+    Round robin would not do: loads whose rates have a common divisor would each use the same few
+    addresses all the time.
 
     Args:
         addresses: `ip:port` of ingresses.
-        threads: Requests at once.
+        threads: Requests of each load in flight at once.
     """
 
     def __init__(self, addresses: Sequence[str], *, threads: int = 16) -> None:
@@ -67,7 +72,7 @@
         self.results: list[Result] = []
 
     def run(self, loads: Sequence[Load], duration_s: float) -> list[Result]:
-        """Send for a while and return every result."""
+        """Send all loads for `duration_s` and return the results of all runs so far."""
         stop_at = clock.now() + duration_s
         threads = []
         for load in loads:
@@ -81,7 +86,7 @@
         return self.results
 
     def send(self, load: Load, *, intended: float | None = None) -> Result:
-        """Send one request."""
+        """Send one request; `intended` is its scheduled time, by default now."""
         request_id = f"{self._prefix}{next(self._numbers)}"
         pool = self._rng.choice(self._pools)
         started = intended if intended is not None else clock.now()
--- a/stand_ins/launcher.py
+++ b/stand_ins/launcher.py
@@ -27,13 +27,13 @@
 
 
 class Launcher:
-    """Processes of one fleet; every VM has an address of its own, `127.0.<net>.<number>`.
+    """Processes of one fleet; every VM has its own address, `127.0.<net>.<number>`.
 
     Args:
         documents: Documents of the first revision by name.
         net: Third number of the addresses.
-        settings: More settings for every node.
-        advertise_net: Third number of the addresses that peers use, where a relay is between.
+        settings: Additional settings for every node.
+        advertise_net: Third number of the addresses that peers use, if a relay is in between.
     """
 
     def __init__(
@@ -80,7 +80,7 @@
         self.close()
 
     def address(self, vm: str) -> str:
-        """Return a VM's IP number."""
+        """Return the IP address of a VM."""
         return f"127.0.{self.net}.{_number(vm)}"
 
     def ingress(self, vm: str) -> str:
@@ -129,19 +129,19 @@
         return {**settings, **self._settings}
 
     def hall(self, vm: str) -> str:
-        """Return a VM's data hall."""
+        """Return the data hall of a VM, "hall" if no target names one."""
         for target in self.fleet.targets.values():
             if target.vm == vm and target.hall:
                 return target.hall
         return "hall"
 
     def wait_ready(self, vms: Sequence[str] | None = None) -> None:
-        """Wait until nodes report ready."""
+        """Wait until these nodes, by default all, report ready."""
         for vm in vms or self.vms:
             self._wait_for(f"http://{self.address(vm)}:{PORTS['admin']}/ready")
 
     def set_vms(self, leaving: Sequence[str]) -> None:
-        """Publish the VM list."""
+        """Publish the VM list; VMs in `leaving` are marked as leaving."""
         rows = [
             {
                 "vm": vm,
@@ -157,7 +157,7 @@
         self.post(f"http://{self.platform}/_vms", rows)
 
     def publish(self, documents: Mapping[str, str], *, revision: int | None = None) -> int:
-        """Publish a revision; returns its number."""
+        """Publish a revision and return its number; `revision` overrides the next number."""
         body: dict[str, Any] = {"documents": dict(documents)}
         if revision is not None:
             body["revision"] = revision
@@ -165,20 +165,20 @@
         return number
 
     def platform_control(self, **changes: Any) -> None:
-        """Make the platform misbehave."""
+        """Set faults of the platform: `down`, `slow_s`, `stale`."""
         self.post(f"http://{self.platform}/_control", changes)
 
     def platform_calls(self) -> int:
-        """Return the calls on the platform so far."""
+        """Return the number of calls that the platform has received."""
         calls: int = self.get(f"http://{self.platform}/_calls")["calls"]
         return calls
 
     def target_control(self, name: str, **behaviour: Any) -> None:
-        """Set a target's behaviour."""
+        """Set the behaviour of a target to the defaults with these changes."""
         self.post(f"http://{self.fleet.targets[name].address}/_control", behaviour)
 
     def ledger(self, name: str) -> dict[str, Any]:
-        """Return a target's ledger."""
+        """Return the ledger of a target, with its counts of runs by request id."""
         ledger: dict[str, Any] = self.get(f"http://{self.fleet.targets[name].address}/_ledger")
         return ledger
 
@@ -197,25 +197,25 @@
         self.processes[name].send_signal(number)
 
     def stop(self, name: str, limit_s: float = 40.0) -> int:
-        """Stop a process in the planned way and return its exit code."""
+        """Stop a process with SIGTERM and return its exit code."""
         process = self.processes.pop(name)
         process.terminate()
         return process.wait(limit_s)
 
     def log(self, name: str) -> str:
-        """Return what a process wrote to standard error."""
+        """Return the output of a process."""
         return (self._folder / f"{name}.log").read_text()
 
     def get(self, url: str) -> Any:
-        """Read JSON from an address."""
+        """Get a JSON value from a URL."""
         return json.loads(self._http.request("GET", url).data)
 
     def post(self, url: str, value: Any) -> Any:
-        """Post JSON to an address."""
+        """Post a JSON value to a URL and return the JSON of the response."""
         return json.loads(self._http.request("POST", url, body=json.dumps(value)).data)
 
     def close(self) -> None:
-        """End all processes."""
+        """Kill all processes, paused ones too."""
         for process in self.processes.values():
             with contextlib.suppress(OSError):
                 process.send_signal(signal.SIGCONT)
@@ -243,12 +243,12 @@
         while clock.now() < deadline:
             ended = [name for name, process in self.processes.items() if process.poll()]
             if ended:
-                raise ChildProcessError(f"{ended[0]} ended: {self.log(ended[0])[-2000:]}")
+                raise ChildProcessError(f"{ended[0]} exited early: {self.log(ended[0])[-2000:]}")
             with contextlib.suppress(urllib3.exceptions.HTTPError):
                 if self._http.request("GET", url, timeout=2.0).status == 200:
                     return
             time.sleep(0.05)
-        raise TimeoutError(f"{url} did not answer in time; logs are in {self._folder}")
+        raise TimeoutError(f"{url} did not return 200 in time; logs are in {self._folder}")
 
 
 def _number(vm: str) -> int:
--- a/stand_ins/platform.py
+++ b/stand_ins/platform.py
@@ -1,7 +1,7 @@
-"""Stand-in for the platform: manifest, documents, watch and VM list, readable only.
+"""Stand-in for the platform: a read-only interface of manifest, documents, watch and VM list.
 
-Faults are set through `POST /_control` (`down`, `slow_s`, `stale`), revisions published through
-`POST /_publish`, the VM list set through `POST /_vms`; `GET /_calls` tells the calls so far.
+Tests set faults through `POST /_control` (`down`, `slow_s`, `stale`), publish revisions through
+`POST /_publish` and set the VM list through `POST /_vms`; `GET /_calls` returns the call count.
 """
 
 import argparse
@@ -20,7 +20,10 @@
 
 
 class PlatformState:
-    """What the platform holds, and how it misbehaves."""
+    """Contents and faults of the platform.
+
+    `down` answers all reads with 503, `slow_s` delays them, and `stale` hides revisions above it.
+    """
 
     def __init__(self) -> None:
         self.lock = threading.Condition()
@@ -33,7 +36,7 @@
         self.stale: int | None = None
 
     def publish(self, documents: dict[str, str], revision: int | None = None) -> int:
-        """Publish a revision; `revision` overrides the next number, as racing operators would."""
+        """Publish a revision; `revision` overrides its number, as operators who race would do."""
         with self.lock:
             number = revision or (self.manifests[-1]["revision"] + 1 if self.manifests else 1)
             entries = []
@@ -47,14 +50,14 @@
             return number
 
     def newest(self) -> dict[str, Any] | None:
-        """Return the manifest that a read shows now."""
+        """Return the newest visible manifest, `None` if there is none."""
         if self.stale is not None:
             visible = [m for m in self.manifests if m["revision"] <= self.stale]
             return visible[-1] if visible else None
         return self.manifests[-1] if self.manifests else None
 
     def watch(self, after: int, wait_s: float) -> dict[str, Any] | None:
-        """Wait for a manifest newer than a revision."""
+        """Wait for a manifest newer than a revision; `None` on timeout."""
         deadline = clock.now() + wait_s
         with self.lock:
             while True:
@@ -68,7 +71,7 @@
 
 
 class _PlatformGateway(WebGateway):
-    """Answers reads and the test's control calls."""
+    """Serves reads and the control calls of tests."""
 
     def answer(self) -> None:
         state: PlatformState = self.req.server.owner
--- a/stand_ins/store.py
+++ b/stand_ins/store.py
@@ -1,4 +1,4 @@
-"""Stand-in for the users' store: items under one rising revision, ranges, watches, faults."""
+"""Stand-in for the store: items under one increasing revision, ranges, watches and faults."""
 
 import base64
 import json
@@ -11,11 +11,11 @@
 
 THREADS = 16
 PAGE_ITEMS = 3
-"""Items of one page: few, so that every test sees more than one page."""
+"""Items of a page: few, so that every test gets more than one page."""
 
 
 class StoreBackup(NamedTuple):
-    """A copy of the store's content."""
+    """A copy of the store's contents."""
 
     revision: int
     items: dict[str, dict[str, Any]]
@@ -23,10 +23,10 @@
 
 
 class StoreState:
-    """What the store holds; safe for any thread.
+    """Contents and faults of the store; safe for any thread.
 
-    `status` other than 200 answers every call, `oldest_revision` is the oldest revision a watch may
-    start from, `calls` counts all calls, `page_items` is how many items a page holds at most.
+    A `status` other than 200 answers every call, `oldest_revision` is the oldest one a watch may
+    start from, `calls` counts all calls, `page_items` is the maximum number of items on a page.
     `era` counts the restorations from a backup; a store that does not report it has `None`.
     """
 
@@ -42,7 +42,7 @@
         self.era: int | None = 0
 
     def put(self, key: str, value: Any) -> None:
-        """Write an item; `bytes` as they are, all else as JSON."""
+        """Write an item; `bytes` are stored as they are, other values as JSON."""
         raw = value if isinstance(value, bytes) else json.dumps(value).encode()
         with self.changed:
             self.revision += 1
@@ -58,7 +58,7 @@
             self.changed.notify_all()
 
     def delete(self, key: str) -> None:
-        """Remove an item."""
+        """Remove an item that exists."""
         with self.changed:
             self.revision += 1
             del self.items[key]
@@ -66,18 +66,18 @@
             self.changed.notify_all()
 
     def discard_history(self) -> None:
-        """Lose the history."""
+        """Discard all events, so that watches cannot start from earlier revisions."""
         with self.changed:
             self.oldest_revision = self.revision
             self.events.clear()
 
     def backup(self) -> StoreBackup:
-        """Return a copy of the content."""
+        """Return a copy of the contents."""
         with self.changed:
             return StoreBackup(self.revision, dict(self.items), list(self.events))
 
     def restore(self, backup: StoreBackup) -> None:
-        """Go back to a backup: revisions are given out again, and waiting watches are cut."""
+        """Restore a backup: revisions are assigned again, and waiting watches end with `None`."""
         with self.changed:
             self.revision = backup.revision
             self.items, self.events = dict(backup.items), list(backup.events)
@@ -86,7 +86,7 @@
             self.changed.notify_all()
 
     def range(self, prefix: str, after: str) -> dict[str, Any]:
-        """Return a page of items."""
+        """Return a page of items whose keys follow `after`."""
         with self.changed:
             keys = sorted(k for k in self.items if k.startswith(prefix) and k > after)
             page = [self.items[key] for key in keys[: self.page_items]]
@@ -94,7 +94,7 @@
             return {"items": page, "HasMore": more, "AtRev": self.revision}
 
     def watch(self, prefix: str, after: int, wait_s: float) -> dict[str, Any] | None:
-        """Wait for events after a revision; `None` if that history is gone or never was."""
+        """Wait for events after a revision; `None` if it is unknown or its history is discarded."""
         deadline = clock.now() + wait_s
         with self.changed:
             start_era = self.era
@@ -113,7 +113,7 @@
 
 
 class _StoreGateway(WebGateway):
-    """Answers the reading calls."""
+    """Serves range and watch calls."""
 
     def answer(self) -> None:
         state: StoreState = self.req.server.owner
@@ -129,7 +129,7 @@
         else:
             wait_s = int(query["WaitMs"]) / 1000.0
             response = state.watch(prefix, int(query["after"]), wait_s)
-        if state.status != 200:  # it went away while a watch waited
+        if state.status != 200:  # the store became unavailable while a watch waited
             self._reply(state, state.status, b"")
         elif response is None:
             self._reply(state, 410, b"")
@@ -144,14 +144,14 @@
 
 
 def store_server(address: tuple[str, int], state: StoreState) -> WebServer:
-    """Return a store that is not started yet."""
+    """Return a server for the store that is not started yet."""
     return WebServer(address, _StoreGateway, state, threads=THREADS)
 
 
 def entry(
     address: str, *, service: str = "s", zone: str = "h", state: str = "ready", born: int = 0
 ) -> dict[str, Any]:
-    """Return a target's entry as it writes it itself; `born` of 0 is not told."""
+    """Return the entry that a target writes about itself; a `born` of 0 is left out."""
     written: dict[str, Any] = {
         "Address": address,
         "Info": {"Service": service, "Version": "v1", "Zone": zone, "Capacity": 4},
@@ -170,9 +170,9 @@
 
     Args:
         version: Its number.
-        rows: Of the routes: name, host, prefix, kind, service, split.
-        services: Their names.
-        customers: Rows of name, keys, requests a second and burst; `None` for no customers.
+        rows: Routes: name, host, path prefix, kind, service, traffic split.
+        services: Names of the services.
+        customers: Name, keys, requests per second and burst; `None` leaves the table out.
     """
     columns = ["Name", "ApiKeys", "RatePerS", "Burst"]
     customer_table = (
--- a/stand_ins/target.py
+++ b/stand_ins/target.py
@@ -1,7 +1,7 @@
-"""Stand-in for a target: slots, cold start, shedding, and gray failures; keeps a ledger.
+"""Stand-in for a target with slots, cold start, load shedding and gray failures.
 
-The behaviour is set through `POST /_control` with fields of `Behaviour`; `GET /_ledger` tells how
-often each request id (the caller's `X-Request` header) was run to its end or only begun.
+Tests set its behaviour through `POST /_control` with fields of `Behaviour`. `GET /_ledger` returns
+how often each request id (the caller's `X-Request` header) was begun and how often it finished.
 """
 
 import argparse
@@ -25,7 +25,13 @@
 
 @dataclass
 class Behaviour:
-    """How the target behaves; times in milliseconds."""
+    """Latency and faults of the target; times in the unit of their suffix.
+
+    `median_ms` and `spread` set the log-normal latency. `flap_s` is the length of alternating
+    faulty and healthy periods. `sick_for` is the only caller, by its `X-Ingress` header, that gets
+    the faults, empty for all. `lying_probe` keeps health checks successful despite the faults.
+    `shed` is not limited to those periods and callers.
+    """
 
     median_ms: float = 5.0
     spread: float = 0.3
@@ -41,14 +47,14 @@
     body_bytes: int = 0
 
     def is_faulty(self, caller: str) -> bool:
-        """Tell whether the faults apply to this caller at this moment."""
+        """Return whether the faults apply to this caller now."""
         if self.flap_s and int(clock.now() / self.flap_s) % 2:
             return False
         return not self.sick_for or self.sick_for == caller
 
 
 class TargetState:
-    """Behaviour, slots and ledger of one target."""
+    """Behaviour, slots and ledger of one target, which is slower for its first `cold_s` seconds."""
 
     def __init__(self, name: str, slots: int, cold_s: float) -> None:
         self.name = name
@@ -62,22 +68,22 @@
         self.served = 0
 
     def begin(self, request_id: str) -> None:
-        """Note that a request is run."""
+        """Record that a request starts to run."""
         with self.lock:
             self.begun[request_id] += 1
             self.served += 1
 
     def finish(self, request_id: str) -> None:
-        """Note that its work is done."""
+        """Record that the work on a request is done."""
         with self.lock:
             self.finished[request_id] += 1
 
 
 class TargetGateway(WebGateway):
-    """Runs requests as the behaviour says."""
+    """Serves requests as the behaviour requires."""
 
     def answer(self) -> None:
-        """Run one request, or a control call of the test."""
+        """Serve a request, a health check or a control call of a test."""
         state: TargetState = self.req.server.owner
         path = urlsplit(self.uri).path
         if path.startswith("/_"):
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -219,7 +219,9 @@
     faults = {fault for group in FAULT_GROUPS for fault in group.faults}
     for restorations, more in ((False, set()), (True, {STORE_RESTORED})):
         plans = [plan(seed, 15.0, 5, restorations=restorations) for seed in range(40)]
-        assert {fault.fault for faults_of_plan in plans for fault in faults_of_plan} == faults | more
+        assert {
+            fault.fault for faults_of_plan in plans for fault in faults_of_plan
+        } == faults | more
 
 
 RUNS = [*((*run, False, False) for run in (SHORT, *REGRESSIONS)), POISON_RUN, RESTORE_RUN]
