--- a/soak/customer.py
+++ b/soak/customer.py
@@ -32,4 +32,4 @@
     keys = {name: [permanent_key(name)] for name in CUSTOMERS}
     keys[rotating_key_owner(version)].append(rotating_key(version))
     limits = {LIMITED: (RATE_PER_S, BURST)}
-    return [[name, held, *limits.get(name, (0.0, 0.0))] for name, held in keys.items()]
+    return [[name, owned, *limits.get(name, (0.0, 0.0))] for name, owned in keys.items()]
