--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks; each prints a table to read and, as last line, one JSON object."""
+"""Benchmarks. Each prints a table and, as its last line, one JSON object."""
--- a/benchmarks/_driver.py
+++ b/benchmarks/_driver.py
@@ -1,7 +1,8 @@
-"""Drives the decision modules of one service in seeded virtual time, at their interfaces.
+"""Simulates one service in virtual time and drives the decision modules through their interfaces.
 
-Not a model of a cluster: one service, its targets' behaviour, a few ingresses, and calls of the
-very modules that the daemon uses. The naive version is driven the same way with the same seeds.
+This is not a model of a cluster: it simulates one service, its targets and a few ingresses, and
+calls the same modules as the daemon. The naive policy runs in the same simulation with the same
+seeds, so that the two can be compared.
 """
 
 import heapq
@@ -17,23 +18,38 @@
 from roadpass.fleet import Service, TrafficClass
 
 STEP_S = 0.1
-SHARE = 0.05
-"""A target counts as detected once a second passes with less than this of its fair share."""
-WINDOW_S = 1.0
-MEDIAN_S = 0.02
-SPREAD = 0.35
-HEALTHY_FAILURES = 0.001
+DETECTED_SHARE = 0.05
+"""A fault counts as detected once its target got less than this share of its fair part of the
+attempts during `DETECTION_WINDOW_S`."""
+DETECTION_WINDOW_S = 1.0
+SERVICE_MEDIAN_S = 0.02
+SERVICE_SIGMA = 0.35
+HEALTHY_FAILURE_SHARE = 0.001
 
 
 class Spec(NamedTuple):
-    """A service of the brief, at its size."""
+    """A service of the users' brief, at its real size.
+
+    Args:
+        name: Name of the service.
+        targets: How many targets it has.
+        slots: Concurrent requests that one target serves.
+        halls: Data halls that its targets are spread over, with one ingress each.
+        floor_slots: Slots that ejection must leave in service.
+        false_ejection_rate: False ejections allowed per target and week.
+        classes: Its traffic classes.
+        shares: Relative share of the requests by class, in the order of `classes`.
+        post_share: Share of requests that must not be repeated.
+        timeout_s: Time limit of a request.
+        attempt_timeout_s: Time limit of one attempt.
+    """
 
     name: str
     targets: int
     slots: int
     halls: int
     floor_slots: int
-    dial: float
+    false_ejection_rate: float
     classes: tuple[TrafficClass, ...]
     shares: tuple[float, ...]
     post_share: float
@@ -41,11 +57,11 @@
     attempt_timeout_s: float
 
     def service(self) -> Service:
-        """Return it as the daemon would configure it."""
+        """Return the configuration that the daemon would use for the service."""
         return Service(
             name=self.name,
             floor_slots=self.floor_slots,
-            false_ejections_per_target_week=self.dial,
+            false_ejections_per_target_week=self.false_ejection_rate,
             timeout_ms=int(self.timeout_s * 1000),
             attempt_timeout_ms=int(self.attempt_timeout_s * 1000),
             queue_limit=20,
@@ -59,14 +75,24 @@
 
     @property
     def capacity(self) -> float:
-        """Requests a second that all targets serve with every slot busy."""
-        mean_s = MEDIAN_S * math.exp(SPREAD**2 / 2.0)
+        """Throughput in requests per second with every slot of all targets busy."""
+        mean_s = SERVICE_MEDIAN_S * math.exp(SERVICE_SIGMA**2 / 2.0)
         return self.targets * self.slots / mean_s
 
 
 @dataclass
 class Fault:
-    """What ails some targets, from a time on; the first `count` of them."""
+    """A fault of the first `count` targets.
+
+    Args:
+        count: How many targets are faulty.
+        fail: Share of requests that fail.
+        hang: Whether requests get no reply.
+        refuse: Whether requests fail at once.
+        slow: Factor on the service time.
+        flap_s: Half period of a fault that comes and goes, 0 for a permanent one.
+        ingress: Ingress that gets no replies while the others do, `None` if all are affected alike.
+    """
 
     count: int = 0
     fail: float = 0.0
@@ -77,7 +103,7 @@
     ingress: int | None = None
 
     def applies(self, now: float, start: float, index: int) -> bool:
-        """Tell whether a target is sick now."""
+        """Return whether a target is faulty at a time."""
         if index >= self.count or now < start:
             return False
         return not self.flap_s or int((now - start) / self.flap_s) % 2 == 0
@@ -85,7 +111,7 @@
 
 @dataclass(eq=False)
 class Request:
-    """A request on its way."""
+    """A request in flight."""
 
     ingress: int
     traffic_class: str
@@ -96,8 +122,8 @@
     maybe_ran: bool = False
 
 
-class Behaviour(NamedTuple):
-    """How one attempt goes at its target."""
+class SimulatedAttempt(NamedTuple):
+    """Course of one attempt at its target, drawn when the attempt starts."""
 
     duration_s: float
     failed: bool
@@ -106,7 +132,7 @@
 
 
 class Tally(NamedTuple):
-    """What a run counted."""
+    """Counters of one run; `detected_s` is `None` if the fault was not detected."""
 
     offered: Counter[str]
     good: Counter[str]
@@ -119,13 +145,14 @@
 
 
 class Driver(ABC):
-    """Arrivals, service times and faults; subclasses are the policies.
+    """Simulates arrivals, service times and faults; subclasses implement the policies.
 
     Args:
         spec: The service.
-        rate: Requests a second in all.
-        fault: What ails, from `fault_at` on.
-        seed: Of all randomness.
+        rate: Total requests per second.
+        fault: The fault to inject.
+        fault_at: Virtual time in seconds at which the fault begins.
+        seed: Seed of the random generator.
     """
 
     def __init__(
@@ -152,9 +179,9 @@
         self._picks: list[tuple[float, bool]] = []
 
     def run(self, until: float, *, stop_when_detected: bool = False) -> Tally:
-        """Run to a time and return the tally."""
-        self.at(0.0, self._arrive)
-        self.at(STEP_S, self._step)
+        """Run up to a virtual time and return the counters."""
+        self.schedule(0.0, self._arrive)
+        self.schedule(STEP_S, self._step)
         while self._events:
             at, _, action = heapq.heappop(self._events)
             if at > until or (stop_when_detected and self.detected_s is not None):
@@ -172,8 +199,8 @@
             self.detected_s,
         )
 
-    def at(self, at: float, action: Callable[[], None]) -> None:
-        """Do something at a time."""
+    def schedule(self, at: float, action: Callable[[], None]) -> None:
+        """Schedule an action at a virtual time."""
         heapq.heappush(self._events, (at, next(self._order), action))
 
     @abstractmethod
@@ -182,41 +209,41 @@
 
     @abstractmethod
     def step(self) -> None:
-        """Do what the policy does regularly."""
+        """Run the periodic work of the policy, every `STEP_S`."""
 
-    def behave(self, index: int, ingress: int) -> Behaviour:
-        """Draw how an attempt goes."""
-        duration = MEDIAN_S * self.rng.lognormvariate(0.0, SPREAD)
-        failed = self.rng.random() < HEALTHY_FAILURES
+    def simulate_attempt(self, index: int, ingress: int) -> SimulatedAttempt:
+        """Draw duration and result of an attempt."""
+        duration = SERVICE_MEDIAN_S * self.rng.lognormvariate(0.0, SERVICE_SIGMA)
+        failed = self.rng.random() < HEALTHY_FAILURE_SHARE
         fault = self.fault
         if not fault.applies(self.now, self.fault_at, index):
-            return Behaviour(duration, failed, False, False)
+            return SimulatedAttempt(duration, failed, False, False)
         if fault.ingress is not None:
-            return Behaviour(duration, failed, False, ingress == fault.ingress)
+            return SimulatedAttempt(duration, failed, False, ingress == fault.ingress)
         if fault.refuse:
-            return Behaviour(0.001, True, False, False)
+            return SimulatedAttempt(0.001, True, False, False)
         failed = failed or self.rng.random() < fault.fail
-        return Behaviour(duration * fault.slow, failed, fault.hang, False)
+        return SimulatedAttempt(duration * fault.slow, failed, fault.hang, False)
 
-    def note_pick(self, name: str, ingress: int) -> None:
-        """Count an attempt for the detection time."""
+    def record_pick(self, name: str, ingress: int) -> None:
+        """Count an attempt, and keep it for the detection time."""
         self.attempts += 1
         if self.now >= self.fault_at and self.fault.ingress in (None, ingress):
             self._picks.append((self.now, name == self.names[0]))
 
-    def note_ejection(self, name: str) -> None:
-        """Count an ejection, and whether the target was healthy."""
+    def record_ejection(self, name: str) -> None:
+        """Count an ejection, as a false one if the target was healthy."""
         self.ejections += 1
-        sick = self.names.index(name) < self.fault.count and self.now >= self.fault_at
-        self.false_ejections += not sick
+        faulty = self.names.index(name) < self.fault.count and self.now >= self.fault_at
+        self.false_ejections += not faulty
 
-    def succeed(self, request: Request) -> None:
-        """Count a good answer."""
+    def record_success(self, request: Request) -> None:
+        """Count a successful response unless it came after the deadline."""
         if self.now <= request.deadline:
             self.good[request.traffic_class] += 1
 
     def _arrive(self) -> None:
-        self.at(self.now + self.rng.expovariate(self.rate), self._arrive)
+        self.schedule(self.now + self.rng.expovariate(self.rate), self._arrive)
         shares = self.spec.shares
         chosen = self.rng.choices(self.spec.classes, shares)[0].name
         self.offered[chosen] += 1
@@ -229,18 +256,18 @@
         self.send(request)
 
     def _step(self) -> None:
-        self.at(self.now + STEP_S, self._step)
+        self.schedule(self.now + STEP_S, self._step)
         self.step()
-        self._look_for_detection()
+        self._check_detection()
 
-    def _look_for_detection(self) -> None:
-        if self.detected_s is not None or self.now < self.fault_at + WINDOW_S:
+    def _check_detection(self) -> None:
+        if self.detected_s is not None or self.now < self.fault_at + DETECTION_WINDOW_S:
             return
-        begin = self.now - WINDOW_S
+        begin = self.now - DETECTION_WINDOW_S
         self._picks = [pick for pick in self._picks if pick[0] >= begin]
-        sick = sum(pick[1] for pick in self._picks)
+        faulty = sum(pick[1] for pick in self._picks)
         fair = len(self._picks) / self.spec.targets
         if self.fault.ingress is not None:
             fair = len(self._picks) * self.spec.halls / self.spec.targets
-        if self._picks and sick < SHARE * min(fair, float(len(self._picks))):
+        if self._picks and faulty < DETECTED_SHARE * min(fair, float(len(self._picks))):
             self.detected_s = begin - self.fault_at
--- a/benchmarks/_plumbing.py
+++ b/benchmarks/_plumbing.py
@@ -1,7 +1,8 @@
-"""Nothing but the plumbing of the path: the same libraries and hops, without any decision.
+"""Baseline for the latency of roadpass: the same libraries and hops, without any decision.
 
-`front ADDRESS BACK TARGET` takes HTTP and sends each request over a stream; `back ADDRESS` answers
-streams by HTTP to the target. What this adds is the floor under what roadpass adds.
+`front ADDRESS BACK TARGET` accepts HTTP requests and forwards each over a stream. `back ADDRESS`
+accepts streams and forwards requests to the target by HTTP. Its added latency is the least that
+roadpass can add with these libraries.
 """
 
 import socket
@@ -24,7 +25,7 @@
 
 
 class Front(NamedTuple):
-    """Where the front sends to."""
+    """Where the front forwards requests."""
 
     peers: PeerPool
     back: Address
@@ -32,7 +33,7 @@
 
 
 class _FrontGateway(WebGateway):
-    """Passes a request on."""
+    """Forwards a request to the back."""
 
     def answer(self) -> None:
         front: Front = self.req.server.owner
@@ -61,7 +62,7 @@
 
 
 def run_front(address: Address, back: Address, target: str) -> None:
-    """Serve callers until killed."""
+    """Serve HTTP callers until killed."""
     front = Front(PeerPool(HELLO, ()), back, target)
     WebServer(address, _FrontGateway, front, threads=THREADS).safe_start()
 
@@ -80,7 +81,7 @@
     while True:
         attempt = Attempt.from_message(stream.receive(60.0).message)
         client = clients.setdefault(attempt.target, TargetClient(attempt.target))
-        got = client.send(
+        response = client.send(
             attempt.id,
             attempt.method,
             attempt.path,
@@ -89,7 +90,7 @@
             timeout_s=TIMEOUT_S,
             fresh=False,
         )
-        stream.send(Reply(got.answer, NO_LOAD).to_message())
+        stream.send(Reply(response.answer, NO_LOAD).to_message())
 
 
 def _address(text: str) -> Address:
@@ -98,7 +99,7 @@
 
 
 def main() -> None:
-    """Run one side."""
+    """Run the front or the back."""
     sys.setswitchinterval(SWITCH_INTERVAL_S)
     match sys.argv[1:]:
         case ["front", address, back, target]:
--- a/benchmarks/_roadpass_driver.py
+++ b/benchmarks/_roadpass_driver.py
@@ -1,6 +1,6 @@
-"""The product's decision modules in the benchmark's virtual time."""
+"""The decision modules of roadpass in the virtual time of the benchmark."""
 
-from benchmarks._driver import Behaviour, Driver, Fault, Request, Spec
+from benchmarks._driver import Driver, Fault, Request, SimulatedAttempt, Spec
 from roadpass.admission import Admission, Admitted, Queued, Refused, Ticket
 from roadpass.balance import Candidate, Load, Picker
 from roadpass.detect import Detector, Sample, threshold
@@ -12,13 +12,15 @@
 from roadpass.message import LoadReport
 from roadpass.retry import RetryBudget
 
-GOSSIP_S = 0.3
-"""A sidecar's word on a sick target takes so long to the ingresses by gossip."""
-FORGET_S = 2.0
+GOSSIP_DELAY_S = 0.3
+"""Delay after which a sidecar's report on an unhealthy target reaches the ingresses by gossip."""
+DETECTOR_MEMORY_S = 2.0
+"""Seconds without a sample after which a sidecar's detector is reset, and the shortest interval
+between two gossip reports on one target."""
 
 
 class RoadpassDriver(Driver):
-    """The product's modules, put together as the daemon does."""
+    """The modules of roadpass, wired together as in the daemon."""
 
     def __init__(
         self, spec: Spec, rate: float, fault: Fault, *, fault_at: float, seed: int
@@ -34,19 +36,21 @@
             for name in self.names
         }
         self._limits = {name: AdaptiveLimit(spec.slots) for name in self.names}
-        self._detectors = {name: Detector(threshold(spec.dial)) for name in self.names}
-        self._learnt_at = dict.fromkeys(self.names, 0.0)
-        self._said_at = dict.fromkeys(self.names, float("-inf"))
+        self._detectors = {
+            name: Detector(threshold(spec.false_ejection_rate)) for name in self.names
+        }
+        self._last_sample_at = dict.fromkeys(self.names, 0.0)
+        self._last_gossip_at = dict.fromkeys(self.names, float("-inf"))
         self._waiting: dict[Ticket, tuple[str, Request, float]] = {}
         self._present = {name: Presence(spec.slots) for name in self.names}
         self.step()
 
     def step(self) -> None:
-        """Judge at every ingress and publish pickers."""
+        """Evaluate health at every ingress, publish pickers and reset detectors without samples."""
         for ingress in range(self.ingresses):
             self._step_ingress(ingress)
         for name, detector in self._detectors.items():
-            if self.now - self._learnt_at[name] > FORGET_S and detector.samples:
+            if self.now - self._last_sample_at[name] > DETECTOR_MEMORY_S and detector.samples:
                 detector.reset()
 
     def _step_if_alarmed(self, ingress: int) -> None:
@@ -57,7 +61,7 @@
         health = self._healths[ingress]
         for change in health.step(self.now, self._present).changes:
             if change.new is State.EJECTED:
-                self.note_ejection(change.target)
+                self.record_ejection(change.target)
         self._pickers[ingress] = self._picker(ingress, health)
 
     def _picker(self, ingress: int, health: ServiceHealth) -> Picker:
@@ -73,7 +77,7 @@
         return Picker([candidates])
 
     def send(self, request: Request) -> None:
-        """Pick, and offer to the sidecar's admission."""
+        """Pick a target and offer the request to the admission of its sidecar."""
         if not request.tried:
             self._budgets[request.ingress].on_first_attempt()
         loads = self._loads[request.ingress]
@@ -86,7 +90,7 @@
         )
         if name is None:
             return
-        self.note_pick(name, request.ingress)
+        self.record_pick(name, request.ingress)
         self.retries += request.retry
         request.tried.add(name)
         loads.begin(name)
@@ -103,11 +107,11 @@
             case Admitted():
                 self._begin(name, request, self.now + remaining)
             case Queued(ticket=ticket, displaced=displaced):
-                give_up = self.now + remaining
-                self._waiting[ticket] = (name, request, give_up)
-                self.at(give_up, lambda: self._give_up(ticket))
+                timeout_at = self.now + remaining
+                self._waiting[ticket] = (name, request, timeout_at)
+                self.schedule(timeout_at, lambda: self._abandon(ticket))
                 if displaced is not None:
-                    self._give_up(displaced)
+                    self._abandon(displaced)
             case Refused():
                 self._not_run(name, request)
 
@@ -116,12 +120,12 @@
             return self.spec.attempt_timeout_s
         return self.spec.timeout_s
 
-    def _give_up(self, ticket: Ticket) -> None:
+    def _abandon(self, ticket: Ticket) -> None:
         waiting = self._waiting.pop(ticket, None)
         if waiting is None:
             return
         name, request, _ = waiting
-        self._grant(self._admissions[name].abandon(self.now, ticket))
+        self._start_granted(self._admissions[name].abandon(self.now, ticket))
         self._not_run(name, request)
 
     def _not_run(self, name: str, request: Request) -> None:
@@ -129,109 +133,111 @@
         self._report(name, request.ingress)
         self._retry(request)
 
-    def _begin(self, name: str, request: Request, give_up: float) -> None:
+    def _begin(self, name: str, request: Request, timeout_at: float) -> None:
         index = self.names.index(name)
         started = self.now
-        going = self.behave(index, request.ingress)
+        simulated = self.simulate_attempt(index, request.ingress)
         health = self._healths[request.ingress]
-        looks = [0]
+        checks = [0]
         ended, replied = [False], [False]
-        timed_out = going.hangs or started + going.duration_s > give_up
-        end_at = give_up if timed_out else started + going.duration_s
-        reply_at = give_up if going.reply_lost else end_at
+        timed_out = simulated.hangs or started + simulated.duration_s > timeout_at
+        end_at = timeout_at if timed_out else started + simulated.duration_s
+        reply_at = timeout_at if simulated.reply_lost else end_at
 
-        def look() -> None:
+        def check_pending() -> None:
             if replied[0]:
                 return
-            if looks[0] == 0:
+            if checks[0] == 0:
                 self._loads[request.ingress].mark_overdue(name)
-            looks[0] += 1
+            checks[0] += 1
             health.record_pending(name)
             self._step_if_alarmed(request.ingress)
             if not ended[0]:
                 self._detectors[name].observe_pending()
                 self._gossip(name)
-            look_again()
+            schedule_check()
 
-        def look_again() -> None:
-            pending_s = health.pending_ms(name, looks=looks[0]) / 1000.0
+        def schedule_check() -> None:
+            pending_s = health.pending_ms(name, looks=checks[0]) / 1000.0
             if pending_s and started + pending_s < reply_at:
-                self.at(started + pending_s, look)
+                self.schedule(started + pending_s, check_pending)
 
         def end() -> None:
             ended[0] = True
             self._end_at_target(
-                name, request, going, timed_out, (self.now - started) * 1000.0, looks[0] > 0
+                name, request, simulated, timed_out, (self.now - started) * 1000.0, checks[0] > 0
             )
 
         def reply() -> None:
             replied[0] = True
-            failed = timed_out or going.reply_lost
+            failed = timed_out or simulated.reply_lost
             service_ms = (self.now - started) * 1000.0
-            self._reply(name, request, going, failed, service_ms, looks[0] > 0)
+            self._reply(name, request, simulated, failed, service_ms, checks[0] > 0)
 
-        look_again()
-        self.at(end_at, end)
-        self.at(reply_at, reply)
+        schedule_check()
+        self.schedule(end_at, end)
+        self.schedule(reply_at, reply)
 
     def _end_at_target(
         self,
         name: str,
         request: Request,
-        going: Behaviour,
+        simulated: SimulatedAttempt,
         timed_out: bool,
         service_ms: float,
-        counted: bool,
+        was_overdue: bool,
     ) -> None:
         slow_ms = self._healths[request.ingress].slow_ms(name)
         admission, limit = self._admissions[name], self._limits[name]
-        sample = Sample(timed_out or going.failed, service_ms)
-        self._detectors[name].observe(sample, slow_ms=slow_ms, counted_slow=counted, at=self.now)
-        self._learnt_at[name] = self.now
+        sample = Sample(timed_out or simulated.failed, service_ms)
+        self._detectors[name].observe(
+            sample, slow_ms=slow_ms, counted_slow=was_overdue, at=self.now
+        )
+        self._last_sample_at[name] = self.now
         self._gossip(name)
         limit.observe(self.now, service_ms, slow_ms, admission.in_use)
         admission.set_limit(limit.value, limit.service_ms)
-        self._grant(admission.release(self.now, request.traffic_class))
+        self._start_granted(admission.release(self.now, request.traffic_class))
 
-    def _grant(self, tickets: list[Ticket]) -> None:
+    def _start_granted(self, tickets: list[Ticket]) -> None:
         for ticket in tickets:
-            name, request, give_up = self._waiting.pop(ticket)
-            self._begin(name, request, give_up)
+            name, request, timeout_at = self._waiting.pop(ticket)
+            self._begin(name, request, timeout_at)
 
     def _reply(
         self,
         name: str,
         request: Request,
-        going: Behaviour,
+        simulated: SimulatedAttempt,
         lost: bool,
         service_ms: float,
-        counted: bool,
+        was_overdue: bool,
     ) -> None:
         health, loads = self._healths[request.ingress], self._loads[request.ingress]
-        failed = lost or going.failed
-        loads.end(name, None if lost else service_ms, overdue=counted)
-        health.record(name, Sample(failed, service_ms), counted_slow=counted, at=self.now)
+        failed = lost or simulated.failed
+        loads.end(name, None if lost else service_ms, overdue=was_overdue)
+        health.record(name, Sample(failed, service_ms), counted_slow=was_overdue, at=self.now)
         self._step_if_alarmed(request.ingress)
         if not lost:
             self._report(name, request.ingress)
         if not failed:
-            self.succeed(request)
+            self.record_success(request)
         elif request.repeatable:
             self._retry(request)
 
     def _gossip(self, name: str) -> None:
-        """Spread the sidecar's word on its target, at most every other second."""
+        """Gossip the scores of an unhealthy target, at most once every `DETECTOR_MEMORY_S`."""
         scores = self._detectors[name].scores
-        if scores.worst < SICK_SCORE or self.now - self._said_at[name] < FORGET_S:
+        if scores.worst < SICK_SCORE or self.now - self._last_gossip_at[name] < DETECTOR_MEMORY_S:
             return
-        self._said_at[name] = self.now
+        self._last_gossip_at[name] = self.now
 
-        def hear() -> None:
+        def deliver() -> None:
             for ingress, health in enumerate(self._healths):
                 health.hint(self.now, name, scores)
                 self._step_if_alarmed(ingress)
 
-        self.at(self.now + GOSSIP_S, hear)
+        self.schedule(self.now + GOSSIP_DELAY_S, deliver)
 
     def _report(self, name: str, ingress: int) -> None:
         admission, scores = self._admissions[name], self._detectors[name].scores
--- a/benchmarks/_synthetic.py
+++ b/benchmarks/_synthetic.py
@@ -1,4 +1,4 @@
-"""Synthetic fleets on loopback: one VM a target, four data halls."""
+"""Synthetic fleets on loopback addresses: one target per VM, four data halls."""
 
 import json
 
@@ -6,12 +6,12 @@
 
 
 def documents(net: int, nodes: int, *, mark: str = "") -> dict[str, str]:
-    """Return the documents of a fleet of some nodes, one target each.
+    """Return the configuration documents of a fleet with one target per node.
 
     Args:
-        net: Third number of the addresses.
-        nodes: How many.
-        mark: Put into a label, so that two revisions differ.
+        net: Third byte of the addresses.
+        nodes: Number of nodes.
+        mark: Value of a label of every target, which makes two revisions differ.
     """
     services = {f"s{n}": {"floor_slots": 1} for n in range(max(1, nodes // 5))}
     targets = {
--- a/benchmarks/configuration.py
+++ b/benchmarks/configuration.py
@@ -1,4 +1,4 @@
-"""Configuration in force: from publication to the last node, platform calls, bytes, patches."""
+"""Measures how fast a revision is in force on all nodes, and what its distribution costs."""
 
 import argparse
 import hashlib
@@ -18,33 +18,44 @@
 NET = 31
 SIZES = (10, 20, 40)
 REVISIONS = 8
-LIMIT_S = 30.0
+IN_FORCE_TIMEOUT_S = 30.0
 POLL_S = 0.02
-CALLS_S = 30.0
+CALL_COUNT_S = 30.0
 DAY_CHANGES = 400
-"""Changes of the simulated day; small ones of one document of a megabyte's tenth."""
+"""Changes in the simulated day, each a small one to a document of about 0.1 MB."""
 
 
 class Size(NamedTuple):
-    """Figures at one size of fleet."""
+    """Figures at one size of fleet.
+
+    Args:
+        p50_s: Median of the seconds from publication until the last node has a revision in force.
+        max_s: Their maximum.
+        half_readers_s: The same for one revision after half of the readers were killed.
+        calls_a_minute: Platform calls per minute of the whole fleet while nothing changes.
+        pull_bytes: Bytes that a node pulls for one revision.
+    """
 
     p50_s: float
     max_s: float
-    halved_s: float
+    half_readers_s: float
     calls_a_minute: float
     pull_bytes: float
 
 
 def in_force_s(fleet: Launcher, nodes: int, mark: str) -> float:
-    """Publish a revision and return the seconds until the last node has it in force."""
+    """Publish a revision and return the seconds until it is in force on the last node.
+
+    Returns `IN_FORCE_TIMEOUT_S` if some node does not have it by then.
+    """
     started = time.time()
     revision = fleet.publish(documents(NET, nodes, mark=mark))
     waiting = set(fleet.vms) & set(fleet.processes)
     last = 0.0
-    deadline = clock.now() + LIMIT_S
+    deadline = clock.now() + IN_FORCE_TIMEOUT_S
     while waiting:
         if clock.now() > deadline:
-            return LIMIT_S
+            return IN_FORCE_TIMEOUT_S
         for vm in list(waiting):
             accepted = _accepted_at(fleet, vm, revision)
             if accepted is not None:
@@ -64,11 +75,11 @@
 
 
 def measure(nodes: int) -> Size:
-    """Run a fleet of some nodes."""
+    """Run a fleet of the given number of nodes and measure it."""
     with _fleet(nodes) as fleet:
         time.sleep(3.0)
         calls = fleet.platform_calls()
-        time.sleep(CALLS_S)
+        time.sleep(CALL_COUNT_S)
         calls = fleet.platform_calls() - calls
         pulled = _pulled(fleet)
         times = [in_force_s(fleet, nodes, f"m{n}") for n in range(REVISIONS)]
@@ -80,21 +91,21 @@
     return Size(
         p50_s=round(statistics.median(times), 3),
         max_s=round(max(times), 3),
-        halved_s=round(halved, 3),
-        calls_a_minute=calls * 60.0 / CALLS_S,
+        half_readers_s=round(halved, 3),
+        calls_a_minute=calls * 60.0 / CALL_COUNT_S,
         pull_bytes=pulled / REVISIONS / nodes,
     )
 
 
 def _fleet(nodes: int) -> Launcher:
-    return NodesOnly(documents(NET, nodes), net=NET)
+    return NodeLauncher(documents(NET, nodes), net=NET)
 
 
-class NodesOnly(Launcher):
-    """A fleet without targets' processes."""
+class NodeLauncher(Launcher):
+    """Launches a fleet without the processes of its targets."""
 
     def start_target(self, name: str) -> None:
-        """Start nothing."""
+        """Skip the process: only the nodes are measured."""
 
 
 def _pulled(fleet: Launcher) -> float:
@@ -105,24 +116,24 @@
 
 
 def patch_ratio() -> tuple[float, int, int]:
-    """Send a simulated day of small changes as patches and as whole documents.
+    """Compare a simulated day of small changes as patches with the same changes as whole documents.
 
     Returns:
-        Bytes of patches over bytes of whole compressed documents, and both sums.
+        Total bytes of the patches over those of the compressed documents, and the two totals.
     """
     rng = random.Random(4)
     targets = json.loads(documents(NET, 240)["targets"])["targets"]
-    many = {f"{name}-{n}": dict(value) for name, value in targets.items() for n in range(4)}
-    text = json.dumps({"targets": many}, indent=1).encode()
+    entries = {f"{name}-{n}": dict(value) for name, value in targets.items() for n in range(4)}
+    old_document = json.dumps({"targets": entries}, indent=1).encode()
     patched, whole = 0, 0
     for change in range(DAY_CHANGES):
-        name = rng.choice(list(many))
-        many[name] = {**many[name], "labels": {"tier": rng.choice("abc"), "at": str(change)}}
-        new = json.dumps({"targets": many}, indent=1).encode()
-        patched += len(make_patch(text, new))
-        whole += len(zstandard.ZstdCompressor().compress(new))
-        text = new
-    assert hashlib.sha256(text).digest()
+        name = rng.choice(list(entries))
+        entries[name] = {**entries[name], "labels": {"tier": rng.choice("abc"), "at": str(change)}}
+        new_document = json.dumps({"targets": entries}, indent=1).encode()
+        patched += len(make_patch(old_document, new_document))
+        whole += len(zstandard.ZstdCompressor().compress(new_document))
+        old_document = new_document
+    assert hashlib.sha256(old_document).digest()
     return patched / whole, patched, whole
 
 
@@ -132,13 +143,13 @@
     parser.add_argument("--sizes", type=int, nargs="+", default=list(SIZES))
     options = parser.parse_args()
     found: dict[str, Any] = {}
-    heads = ("nodes", "p50 s", "max s", "half readers s", "calls/min", "B/node")
-    print("{:>6} {:>7} {:>7} {:>15} {:>10} {:>8}".format(*heads))
+    columns = ("nodes", "p50 s", "max s", "half readers s", "calls/min", "B/node")
+    print("{:>6} {:>7} {:>7} {:>15} {:>10} {:>8}".format(*columns))
     for nodes in options.sizes:
         size = measure(nodes)
         found[str(nodes)] = size
         print(
-            f"{nodes:>6} {size.p50_s:>7.3f} {size.max_s:>7.3f} {size.halved_s:>15.3f} "
+            f"{nodes:>6} {size.p50_s:>7.3f} {size.max_s:>7.3f} {size.half_readers_s:>15.3f} "
             f"{size.calls_a_minute:>10.1f} {size.pull_bytes:>8.0f}"
         )
     ratio, patched, whole = patch_ratio()
@@ -147,7 +158,7 @@
         json.dumps(
             {
                 "last_node_s": {nodes: size.max_s for nodes, size in found.items()},
-                "last_node_half_readers_killed_s": {n: s.halved_s for n, s in found.items()},
+                "last_node_half_readers_killed_s": {n: s.half_readers_s for n, s in found.items()},
                 "platform_calls_per_min": {n: s.calls_a_minute for n, s in found.items()},
                 "pull_bytes_per_node": {n: round(s.pull_bytes) for n, s in found.items()},
                 "patch_to_full_bytes": round(ratio, 4),
--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -1,4 +1,4 @@
-"""What control costs a node: processor, memory, bytes; idle, with changes, with full tables."""
+"""Measures what control costs a node: CPU, memory and bytes; idle, under changes, at full scale."""
 
 import argparse
 import contextlib
@@ -15,7 +15,7 @@
 
 from benchmarks._process import Usage
 from benchmarks._synthetic import documents
-from benchmarks.configuration import NET, NodesOnly
+from benchmarks.configuration import NET, NodeLauncher
 from roadpass import clock
 from roadpass.admission import Admission
 from roadpass.errors import StreamError
@@ -34,17 +34,17 @@
 CHANGE_S = 2.0
 CHANGES = 8
 SERVICES, TARGETS, ROUTES = 4_000, 130_000, 37_000
-CUSTOMERS_A_NODE = 1_400_000 // 4_200
+CUSTOMERS_PER_NODE = 1_400_000 // 4_200
 MEMBERS = 4_200
 STREAMS = 200
 FENCES = 180 * 452
-"""Attempts that a sidecar remembers at the target's size: the window times the rate."""
-PARSED = 20_000
-"""Targets in the documents whose parsing is timed; more would not fit a megabyte each."""
+"""Attempts in the fence table of a sidecar at full scale: 180 s of window times 452 a second."""
+PARSED_TARGETS = 20_000
+"""Targets in the documents whose parsing is timed, 4000 a document: a document has at most 1 MB."""
 
 
 class Size(NamedTuple):
-    """Figures of one node at a size of fleet: the mean over all, and the largest memory."""
+    """Figures of one node at a size of fleet: means, and the largest memory of any."""
 
     idle_percent: float
     change_percent: float
@@ -54,7 +54,7 @@
 
 
 class Reading(NamedTuple):
-    """Sums over all nodes."""
+    """Sums over all nodes, except `rss_mb`, which is the largest of any."""
 
     at: float
     cpu_s: float
@@ -62,8 +62,8 @@
     bytes: float
 
 
-def read(fleet: Launcher) -> Reading:
-    """Read processes and counters of all nodes; asking costs them a little, which is counted."""
+def read_usage(fleet: Launcher) -> Reading:
+    """Read processes and counters of all nodes; the cost of the queries is included."""
     usages = [Usage.from_pid(fleet.processes[vm].pid) for vm in fleet.vms]
     total = 0.0
     for vm in fleet.vms:
@@ -79,16 +79,16 @@
 
 
 def measure(nodes: int) -> Size:
-    """Run a fleet idle, then with a change every two seconds."""
-    with NodesOnly(documents(NET, nodes), net=NET) as fleet:
+    """Run a fleet idle, then with a change every `CHANGE_S`."""
+    with NodeLauncher(documents(NET, nodes), net=NET) as fleet:
         time.sleep(5.0)
-        begin = read(fleet)
+        begin = read_usage(fleet)
         time.sleep(IDLE_S)
-        idle = read(fleet)
+        idle = read_usage(fleet)
         for number in range(CHANGES):
             fleet.publish(documents(NET, nodes, mark=f"m{number}"))
             time.sleep(CHANGE_S)
-        changed = read(fleet)
+        changed = read_usage(fleet)
     return Size(
         idle_percent=_percent(begin, idle, nodes),
         change_percent=_percent(idle, changed, nodes),
@@ -107,7 +107,7 @@
 
 
 def table_bytes() -> dict[str, float]:
-    """Measure what one target, route and waiting customer take, in a process of its own each."""
+    """Measure the memory per entry of each table, with a new process for each table."""
     found = {}
     for kind in TABLES:
         command = [sys.executable, "-m", "benchmarks.control", "--table", kind]
@@ -121,7 +121,7 @@
         "bytes_per_service": round((found["services"] - base) * mb / SERVICES),
         "bytes_per_target": round((found["targets"] - found["services"]) * mb / TARGETS),
         "bytes_per_route": round((found["routes"] - found["services"]) * mb / ROUTES),
-        "bytes_per_customer": round((found["customers"] - base) * mb / CUSTOMERS_A_NODE),
+        "bytes_per_customer": round((found["customers"] - base) * mb / CUSTOMERS_PER_NODE),
         "bytes_per_member": round((found["members"] - base) * mb / MEMBERS),
         "bytes_per_fence": round((found["fences"] - base) * mb / FENCES),
         "bytes_per_stream": round((found["streams"] - base) * mb / STREAMS),
@@ -136,20 +136,20 @@
 
 
 def parse_us_per_target() -> float:
-    """Return the microseconds that a revision's parsing and checking takes per target."""
+    """Return the microseconds per target of parsing and checking a revision."""
     texts = []
-    for part in range(0, PARSED, 4000):
+    for part in range(0, PARSED_TARGETS, 4000):
         targets = {f"t{n}": _target(n) for n in range(part, part + 4000)}
         texts.append((f"targets-{part}", json.dumps({"targets": targets})))
     services = {f"service-{n}": {"floor_slots": 1} for n in range(SERVICES)}
     texts.append(("services", json.dumps({"services": services})))
     begin = time.perf_counter()
     Fleet.from_documents(texts)
-    return (time.perf_counter() - begin) / PARSED * 1e6
+    return (time.perf_counter() - begin) / PARSED_TARGETS * 1e6
 
 
 def build_table(kind: str) -> float:
-    """Build one table and return this process's resident memory in MB."""
+    """Build one table and return the resident memory of this process in MB."""
     kept: list[Any] = []
     importlib.import_module("roadpass.daemon")
     if kind in ("services", "targets", "routes"):
@@ -233,7 +233,7 @@
 
 def _customers() -> Admission:
     admission = Admission((TrafficClass("c", 0.0),), slots=1, queue_limit=10**6)
-    for n in range(CUSTOMERS_A_NODE):
+    for n in range(CUSTOMERS_PER_NODE):
         admission.offer(0.0, "c", f"customer-{n}", 60.0, retry=False)
     return admission
 
@@ -248,8 +248,8 @@
         print(json.dumps({"rss_mb": build_table(options.table)}))
         return
     sizes: dict[str, Size] = {}
-    heads = ("nodes", "idle %", "change %", "rss MB", "idle B/s", "change B/s")
-    print("{:>6} {:>7} {:>9} {:>7} {:>9} {:>11}".format(*heads))
+    columns = ("nodes", "idle %", "change %", "rss MB", "idle B/s", "change B/s")
+    print("{:>6} {:>7} {:>9} {:>7} {:>9} {:>11}".format(*columns))
     for nodes in options.sizes:
         size = sizes[str(nodes)] = measure(nodes)
         print(
--- a/benchmarks/customers.py
+++ b/benchmarks/customers.py
@@ -1,4 +1,4 @@
-"""What customers and their keys cost a node: memory, look-up, and what one changed key carries.
+"""Measures what customers and their keys cost a node: memory, look-up time and bytes per change.
 
 Run: python -m benchmarks.customers [NUMBER]
 """
@@ -10,8 +10,8 @@
 from roadpass.customer import Credential, Customer, Customers
 from roadpass.packing import pack
 
-KEYS = 2
-"""Keys of a customer: it has an old one and a new one while it changes them."""
+KEYS_PER_CUSTOMER = 2
+"""Keys of each customer: an old and a new one, as during a key rotation."""
 LOOKUPS = 100_000
 
 
@@ -20,23 +20,26 @@
     tracemalloc.start()
     started = time.perf_counter()
     customers = Customers.from_keys(
-        (Customer(f"customer{n}", "p001", 5.0, 5.0), tuple(f"key-{n}-{k}" for k in range(KEYS)))
+        (
+            Customer(f"customer{n}", "p001", 5.0, 5.0),
+            tuple(f"key-{n}-{k}" for k in range(KEYS_PER_CUSTOMER)),
+        )
         for n in range(number)
     )
     built_s = time.perf_counter() - started
-    held, _ = tracemalloc.get_traced_memory()
+    memory_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    shown = [Credential(f"key-{n % (2 * number)}-1", shown=True) for n in range(1000)]
+    credentials = [Credential(f"key-{n % (2 * number)}-1", shown=True) for n in range(1000)]
     started = time.perf_counter()
     for n in range(LOOKUPS):
-        customers.find(shown[n % len(shown)])
+        customers.find(credentials[n % len(credentials)])
     look_up_us = (time.perf_counter() - started) / LOOKUPS * 1e6
-    told = len(pack([customers.salt, customers.rows()]))
-    print(f"customers {number}, {KEYS} keys each")
-    print(f"held: {held / number:.0f} bytes a customer, {held / 1e6:.1f} MB")
+    sent_bytes = len(pack([customers.salt, customers.rows()]))
+    print(f"customers {number}, {KEYS_PER_CUSTOMER} keys each")
+    print(f"held: {memory_bytes / number:.0f} bytes a customer, {memory_bytes / 1e6:.1f} MB")
     print(f"look-up: {look_up_us:.2f} us, digest of the key included")
     print(f"read from keys: {built_s / number * 1e6:.1f} us a customer")
-    print(f"told between nodes at any change: {told / number:.0f} bytes a customer")
+    print(f"told between nodes at any change: {sent_bytes / number:.0f} bytes a customer")
 
 
 if __name__ == "__main__":
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -1,4 +1,4 @@
-"""The decisions under faults and load, roadpass against the naive version, in virtual time."""
+"""Compares roadpass with the naive policy under faults and overload, in virtual time."""
 
 import argparse
 import json
@@ -28,9 +28,10 @@
 PROCESSES = 4
 SEEDS = 24
 LOAD = 0.4
-FAULT_AT = 4.0
-LIMIT_S = 40.0
-"""A target not detected by then counts with this time: the naive figures are lower bounds."""
+FAULT_AT_S = 4.0
+DETECTION_LIMIT_S = 40.0
+"""Detection time that counts for a fault not detected by then, so that the figures of the naive
+policy are lower bounds."""
 SETTLE_S = 4.0
 WEEK_S = 7 * 24 * 3600.0
 
@@ -40,7 +41,7 @@
     slots=10,
     halls=3,
     floor_slots=30,
-    dial=1.0,
+    false_ejection_rate=1.0,
     classes=(TrafficClass("members", 0.5), TrafficClass("internal", 0.1)),
     shares=(0.8, 0.2),
     post_share=0.1,
@@ -53,7 +54,7 @@
     slots=6,
     halls=4,
     floor_slots=18,
-    dial=0.01,
+    false_ejection_rate=0.01,
     classes=(TrafficClass("submission", 0.5), TrafficClass("simulation", 0.2)),
     shares=(0.4, 0.6),
     post_share=0.4,
@@ -63,7 +64,15 @@
 
 
 class Row(NamedTuple):
-    """One fault; `partial` ones are those a naive rule is slow to see."""
+    """One fault scenario.
+
+    Args:
+        name: Label in the table.
+        fault: The fault; a `count` of -1 stands for all targets but one.
+        partial: Whether the naive policy is slow to detect the fault.
+        detects: Whether the time to detection is measured.
+        load: Load as a share of the capacity.
+    """
 
     name: str
     fault: Fault
@@ -87,7 +96,7 @@
 
 
 class Result(NamedTuple):
-    """A row's figures for one policy and service."""
+    """Figures of one row for one policy and service, over all seeds."""
 
     p50_s: float
     p99_s: float
@@ -109,19 +118,19 @@
 
 
 def run_job(job: Job) -> Tally:
-    """Run it: to detection and a while on, or for a fixed time."""
+    """Run a job until the fault is detected, or for a fixed time."""
     fault = job.row.fault
     if fault.count == -1:
         fault = Fault(job.spec.targets - 1, fail=fault.fail)
     rate = job.spec.capacity * job.row.load
-    driver = job.policy(job.spec, rate, fault, fault_at=FAULT_AT, seed=job.seed)
-    until = FAULT_AT + (LIMIT_S if job.row.detects else 4.0 * SETTLE_S)
+    driver = job.policy(job.spec, rate, fault, fault_at=FAULT_AT_S, seed=job.seed)
+    until = FAULT_AT_S + (DETECTION_LIMIT_S if job.row.detects else 4.0 * SETTLE_S)
     return driver.run(until, stop_when_detected=job.row.detects)
 
 
 def summarize(tallies: Sequence[Tally]) -> Result:
-    """Put the runs of one row together."""
-    times = sorted(LIMIT_S if t.detected_s is None else t.detected_s for t in tallies)
+    """Aggregate the runs of one row."""
+    times = sorted(DETECTION_LIMIT_S if t.detected_s is None else t.detected_s for t in tallies)
     offered = sum(sum(t.offered.values()) for t in tallies)
     good = sum(sum(t.good.values()) for t in tallies)
     classes = {name for t in tallies for name in t.offered}
@@ -163,7 +172,7 @@
 
 
 def measure_overload(seconds: float = 12.0) -> tuple[float, float, float]:
-    """Offer 1.5 times the capacity, members 0.8 of it and internal traffic the rest.
+    """Offer 1.5 times the capacity: 0.8 times from members, 0.7 times from internal traffic.
 
     Returns:
         Members' goodput over what capacity allows them, internal goodput over what it offered,
@@ -178,8 +187,8 @@
 
 
 def measure_wald(runs: int = 300) -> dict[str, float]:
-    """Return mean samples to detection over Wald's bound, by kind of failure."""
-    h = threshold(BANCADA.dial)
+    """Return mean samples to detection over Wald's bound, by share of failing requests."""
+    h = threshold(BANCADA.false_ejection_rate)
     ratios = {}
     for failing in (0.3, 0.5, 1.0):
         counts = []
@@ -195,7 +204,7 @@
 
 
 def measure_week(spec: Spec, rate: float = 0.5) -> float:
-    """Return false ejections a target-week with none sick, at a low rate, at one ingress."""
+    """Return false ejections per target-week at one ingress, at a low rate and with no fault."""
     rng = random.Random(11)
     health = ServiceHealth(spec.service())
     present = {f"t{n}": Presence(spec.slots) for n in range(spec.targets)}
--- a/benchmarks/detection.py
+++ b/benchmarks/detection.py
@@ -1,4 +1,4 @@
-"""Detection on real processes: from a fault to its ejection at each ingress, both sample fleets."""
+"""Measures the time from a fault to its ejection at each ingress, on processes of both examples."""
 
 import argparse
 import json
@@ -10,8 +10,8 @@
 from stand_ins.caller import Caller, Load
 from stand_ins.launcher import Launcher
 
-WARM_S = 8.0
-WATCH_S = 12.0
+WARM_UP_S = 8.0
+OBSERVATION_S = 12.0
 CALLER_THREADS = 4
 
 
@@ -24,8 +24,19 @@
     behaviour: dict[str, object]
 
 
-class Found(NamedTuple):
-    """Seconds from the fault to the ejection at the ingresses, and what callers got."""
+class Detection(NamedTuple):
+    """Seconds from the fault to the ejection at the ingresses, and the results of the callers.
+
+    Args:
+        first_s: Seconds until the first ingress ejected the target.
+        median_s: Median over the ingresses that ejected it.
+        last_s: Seconds until the last of them did.
+        ingresses: How many ingresses ejected it.
+        of: How many ingresses there are.
+        false_ejections: Ejections of other targets, or before the fault.
+        lost: Requests not answered with status 200.
+        requests: All requests.
+    """
 
     first_s: float
     median_s: float
@@ -53,17 +64,20 @@
         Load("POST", "/bancada/submission", 50.0),
     ],
 }
-SICK = {"granthsetu": "circulation-1", "lisbon": "bancada-1"}
+FAULTY_TARGETS = {"granthsetu": "circulation-1", "lisbon": "bancada-1"}
+
 
+def measure(case: Case) -> Detection:
+    """Run one fleet with traffic at every ingress and inject one fault.
 
-def measure(case: Case) -> Found:
-    """Run one fleet with traffic at every ingress, and one fault."""
+    Times of a fault that no ingress detects are `OBSERVATION_S`.
+    """
     with Launcher.from_example(case.fleet) as fleet:
         caller = Caller([fleet.ingress(vm) for vm in fleet.vms], threads=CALLER_THREADS)
-        run_s = WARM_S + WATCH_S
+        run_s = WARM_UP_S + OBSERVATION_S
         traffic = threading.Thread(target=caller.run, args=(LOADS[case.fleet], run_s))
         traffic.start()
-        time.sleep(WARM_S)
+        time.sleep(WARM_UP_S)
         fault_at = time.time()
         fleet.target_control(case.target, **case.behaviour)
         traffic.join()
@@ -71,8 +85,8 @@
     lost = sum(result.status != 200 for result in caller.results)
     counts = (len(times), len(fleet.vms), false, lost, len(caller.results))
     if not times:
-        return Found(WATCH_S, WATCH_S, WATCH_S, *counts)
-    return Found(min(times), statistics.median(times), max(times), *counts)
+        return Detection(OBSERVATION_S, OBSERVATION_S, OBSERVATION_S, *counts)
+    return Detection(min(times), statistics.median(times), max(times), *counts)
 
 
 def _ejections(fleet: Launcher, target: str, fault_at: float) -> tuple[list[float], int]:
@@ -84,23 +98,25 @@
             for event in fleet.admin(vm, "/audit")
             if event["kind"] == "target-state" and " to ejected" in event["evidence"]
         ]
-        right = [at - fault_at for at, subject in own if subject == target and at >= fault_at]
+        detected_after_s = [
+            at - fault_at for at, subject in own if subject == target and at >= fault_at
+        ]
         false += sum(subject != target or at < fault_at for at, subject in own)
-        if right:
-            times.append(min(right))
+        if detected_after_s:
+            times.append(min(detected_after_s))
     return times, false
 
 
 def main() -> None:
     """Print the table and the JSON line."""
     argparse.ArgumentParser(description=__doc__).parse_args()
-    found = {}
-    heads = ("fleet", "fault", "first s", "median s", "last s", "ingresses", "false", "not 200")
-    print("{:11} {:15} {:>8} {:>9} {:>7} {:>10} {:>6} {:>9}".format(*heads))
-    for fleet, target in SICK.items():
+    detections = {}
+    columns = ("fleet", "fault", "first s", "median s", "last s", "ingresses", "false", "not 200")
+    print("{:11} {:15} {:>8} {:>9} {:>7} {:>10} {:>6} {:>9}".format(*columns))
+    for fleet, target in FAULTY_TARGETS.items():
         for name, behaviour in FAULTS:
             row = measure(Case(fleet, target, name, behaviour))
-            found[f"{fleet}, {name}"] = row
+            detections[f"{fleet}, {name}"] = row
             print(
                 f"{fleet:11} {name:15} {row.first_s:8.2f} {row.median_s:9.2f} {row.last_s:7.2f} "
                 f"{row.ingresses:>7}/{row.of:<2} {row.false_ejections:6d} "
@@ -110,9 +126,9 @@
     print(
         json.dumps(
             {
-                "detect_median_s": {k: round(row.median_s, 2) for k, row in found.items()},
-                "detect_last_s": {k: round(row.last_s, 2) for k, row in found.items()},
-                "false_ejections": sum(row.false_ejections for row in found.values()),
+                "detect_median_s": {k: round(row.median_s, 2) for k, row in detections.items()},
+                "detect_last_s": {k: round(row.last_s, 2) for k, row in detections.items()},
+                "false_ejections": sum(row.false_ejections for row in detections.values()),
             }
         )
     )
--- a/benchmarks/path.py
+++ b/benchmarks/path.py
@@ -1,10 +1,10 @@
-"""Latency added by roadpass: callers through two nodes against callers that go direct.
+"""Measures the latency that roadpass adds to requests sent directly to the target.
 
-One caller process sends to one node's ingress, whose service has its target beside another node:
-both hops are always taken. With `--both-roles` a second caller does the same the other way round,
-so that each node is ingress and sidecar at the rate. In turns of a second direct, through the
-plumbing alone (`benchmarks/_plumbing.py`) and through roadpass; latencies count from the intended
-time of sending.
+One caller process sends to the ingress of one node, and the target runs on the other node, so that
+every request takes both hops. With `--both-roles` a second caller does the same in the opposite
+direction, so that each node is ingress and sidecar at the given rate. Each caller alternates
+one-second turns sent directly, through the plumbing alone (`benchmarks/_plumbing.py`) and through
+roadpass. Latencies count from the intended time of sending.
 """
 
 import argparse
@@ -22,10 +22,10 @@
 NET = 21
 TURN_S = 1.0
 THREADS = 8
-HIGHEST_US = 60_000_000
+HISTOGRAM_MAX_US = 60_000_000
 SERVICE_MS = 2.0
 PAIRS = (("vm-1", "near-2"), ("vm-2", "near-1"))
-WAYS = ("direct", "plumbing", "through")
+VARIANTS = ("direct", "plumbing", "through")
 FRONT_PORT, BACK_PORT = 8090, 8091
 PERCENTILES = (50.0, 90.0, 99.0, 99.9)
 
@@ -53,10 +53,10 @@
 
 
 def worker(ingress: str, plumbing: str, target: str, path: str, rate: float, turns: int) -> None:
-    """Send in turns every way; print the histograms' figures."""
+    """Send in turns by each variant, and print the histograms as JSON."""
     callers = {
-        way: Caller([address], threads=THREADS)
-        for way, address in zip(WAYS, (target, plumbing, ingress), strict=True)
+        variant: Caller([address], threads=THREADS)
+        for variant, address in zip(VARIANTS, (target, plumbing, ingress), strict=True)
     }
     load = Load("GET", path, rate)
     for caller in callers.values():
@@ -67,7 +67,7 @@
             caller.run([load], TURN_S)
     figures = {}
     for name, caller in callers.items():
-        histogram = HdrHistogram(1, HIGHEST_US, 3)
+        histogram = HdrHistogram(1, HISTOGRAM_MAX_US, 3)
         for result in caller.results:
             histogram.record_value(max(1, int(result.latency_s * 1e6)))
         figures[name] = {
@@ -81,12 +81,12 @@
     """Run the fleet and the callers.
 
     Args:
-        rate: Requests a second of one caller process.
-        turns: Turns of a second each way.
+        rate: Requests per second of one caller process.
+        turns: Turns of `TURN_S` for each variant.
         both_roles: Whether each node is ingress and sidecar.
 
     Returns:
-        Histograms by way, and usage of the nodes.
+        Histograms by variant, failed requests, and resource usage of the nodes.
     """
     pairs = PAIRS if both_roles else PAIRS[:1]
     with Launcher(documents(), net=NET) as fleet:
@@ -115,14 +115,14 @@
         after = {vm: Usage.from_pid(fleet.processes[vm].pid) for vm in fleet.vms}
     stolen = stolen_s() - stolen
     histograms = {}
-    for way in WAYS:
-        histograms[way] = HdrHistogram(1, HIGHEST_US, 3)
+    for variant in VARIANTS:
+        histograms[variant] = HdrHistogram(1, HISTOGRAM_MAX_US, 3)
         for output in outputs:
-            histograms[way].decode_and_add(output[way]["histogram"])
+            histograms[variant].decode_and_add(output[variant]["histogram"])
     cpu_s = sum(after[vm].cpu_s - before[vm].cpu_s for vm in after)
     return {
         "histograms": histograms,
-        "bad": sum(output[way]["bad"] for output in outputs for way in output),
+        "bad": sum(output[variant]["bad"] for output in outputs for variant in output),
         "cpu_s": cpu_s,
         "stolen_s": stolen,
         "rss_mb": max(usage.rss_mb for usage in after.values()),
@@ -130,7 +130,7 @@
 
 
 def _start_plumbing(fleet: Launcher, vm: str, target: str) -> list[subprocess.Popen[bytes]]:
-    """Start both sides of the plumbing on the addresses of the nodes that roadpass uses."""
+    """Start front and back of the plumbing on the addresses of the two nodes on the path."""
     entry = fleet.fleet.targets[target]
     front, back = f"{fleet.address(vm)}:{FRONT_PORT}", f"{fleet.address(entry.vm)}:{BACK_PORT}"
     module = [sys.executable, "-m", "benchmarks._plumbing"]
@@ -154,15 +154,17 @@
         return
     measured = measure(options.rate, options.turns, both_roles=options.both_roles)
     histograms = measured["histograms"]
-    print("{:>10} {:>10} {:>12} {:>11} {:>14}".format("percentile", *WAYS, "added, of this"))
-    added, floor = {}, {}
+    print("{:>10} {:>10} {:>12} {:>11} {:>14}".format("percentile", *VARIANTS, "added, of this"))
+    added, baseline = {}, {}
     for percentile in PERCENTILES:
-        values = [histograms[way].get_value_at_percentile(percentile) / 1e3 for way in WAYS]
-        floor[percentile] = round(values[1] - values[0], 3)
+        values = [
+            histograms[variant].get_value_at_percentile(percentile) / 1e3 for variant in VARIANTS
+        ]
+        baseline[percentile] = round(values[1] - values[0], 3)
         added[percentile] = round(values[2] - values[0], 3)
         print(
             f"{percentile:>10g} {values[0]:>10.3f} {values[1]:>12.3f} {values[2]:>11.3f} "
-            f"{added[percentile]:>6.3f} {floor[percentile]:>7.3f}"
+            f"{added[percentile]:>6.3f} {baseline[percentile]:>7.3f}"
         )
     requests = histograms["through"].get_total_count()
     print(f"{requests} requests through roadpass, {measured['bad']} not answered with 200")
@@ -170,8 +172,8 @@
     result = {
         "added_p50_ms": added[50.0],
         "added_p99_ms": added[99.0],
-        "plumbing_p50_ms": floor[50.0],
-        "plumbing_p99_ms": floor[99.0],
+        "plumbing_p50_ms": baseline[50.0],
+        "plumbing_p99_ms": baseline[99.0],
         "rate": options.rate,
         "rps_per_core": round(requests / measured["cpu_s"], 1),
         "rss_mb": round(measured["rss_mb"], 1),
