--- a/tools/__init__.py
+++ b/tools/__init__.py
@@ -1,1 +1,1 @@
-"""Tools of the repository; nothing here is part of the product."""
+"""Development tools; not part of the product."""
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -1,25 +1,25 @@
-"""The mechanisms that hold the promises: where each stands, and which test must notice it gone."""
+"""The mechanisms behind the guarantees: the code of each and the test that must fail without it."""
 
 from tools.mechanism import Mechanism
-from tools.mechanisms_of_service import OF_CHOICE, OF_CRASHES, OF_CUSTOMERS
+from tools.mechanisms_of_service import CRASH_HANDLING, CUSTOMERS, TARGET_CHOICE
 
-ELSEWHERE = (
+GENERAL = (
     Mechanism(
-        "a question to a peer makes the reader wait for nothing",
+        "the reader does not block on a request to a peer",
         "roadpass/store_reader.py",
         "self._asker.tell(self._asking)",
         "self._asker.ask(self._asking)",
         "tests/test_store_reader.py",
     ),
     Mechanism(
-        "a call to the source makes the reader wait for nothing",
+        "the reader does not block on a call to the source",
         "roadpass/store_reader.py",
         "self._caller.tell(self._calling)",
         "self._caller.ask(self._calling)",
         "tests/test_store_reader.py",
     ),
     Mechanism(
-        "a reading of the store is of one era",
+        "a read of the store covers a single era",
         "roadpass/platform/store.py",
         "if era != after.era:",
         "if False:",
@@ -33,14 +33,14 @@
         "tests/test_store_reader.py",
     ),
     Mechanism(
-        "readings of the source never go back",
+        "reads of the source never go back to an older state",
         "roadpass/store_reader.py",
         "changes = self._reads.apply(changes)",
         "",
         "tests/test_restored_store.py",
     ),
     Mechanism(
-        "a lost history is no outage",
+        "a lost change history is not taken for an outage of the source",
         "roadpass/store_reader.py",
         "self._position = None\n                self._failed(error, call.asked_at)",
         "self._position = None\n                self._source_away(clock.now())\n"
@@ -48,21 +48,21 @@
         "tests/test_platform_reader.py",
     ),
     Mechanism(
-        "what a backup lacks gets the time of an outage",
+        "targets that a restored backup lacks get the grace period of an outage",
         "roadpass/catalogue.py",
         "if restored:",
         "if False:",
         "tests/test_restored_store.py",
     ),
     Mechanism(
-        "a withdrawn entry that a backup brings back is held",
+        "a withdrawn entry that a restored backup contains is held back",
         "roadpass/catalogue.py",
         "if not self._revived.hold(now, entry, restored=restored, whole=changes.whole):",
         "if True:",
         "tests/test_restored_store.py",
     ),
     Mechanism(
-        "a stop with nothing in flight at its limit is clean",
+        "a shutdown with nothing in flight at its time limit is clean",
         "roadpass/drain.py",
         " or (late and quiet_s > 0.0)",
         "",
@@ -97,35 +97,35 @@
         "tests/test_platform.py",
     ),
     Mechanism(
-        "a node that starts is told of all members",
+        "a starting node receives all members",
         "roadpass/membership.py",
         "number, self._own.vm), *self._introduce(back)]",
         "number, self._own.vm)]",
         "tests/test_membership.py",
     ),
     Mechanism(
-        "floor of ejection",
+        "ejection keeps the capacity floor",
         "roadpass/eject.py",
         "if serving - fact.slots >= self._floor:",
         "if True:",
         "tests/test_eject.py",
     ),
     Mechanism(
-        "not repeatable is not retried after unknown",
+        "a non-repeatable request is not retried after an unknown outcome",
         "roadpass/dispatch.py",
         "        case Unknown():\n            return route.repeatable",
         "        case Unknown():\n            return True",
         "tests/test_scenario.py::test_scenario[gray_hang]",
     ),
     Mechanism(
-        "unknown is not told as not-run",
+        "an unknown outcome is not reported as not-run",
         "roadpass/transport.py",
         "            return Unknown(reason)\n        vouched",
         "            return NotRun(reason)\n        vouched",
         "tests/test_dispatch.py",
     ),
     Mechanism(
-        "fence is taken only from the table",
+        "an attempt that has started cannot be fenced",
         "roadpass/fence.py",
         "if entry is not None and entry.started:\n"
         "                return Verdict.STARTED\n            self._attempts",
@@ -140,7 +140,7 @@
         "tests/test_sidecar.py",
     ),
     Mechanism(
-        "an answer is whole or an error",
+        "a truncated response is an error",
         "roadpass/target_connection.py",
         "            raise TargetLostError("
         '"The target\'s connection ended before its answer was whole.")',
@@ -148,7 +148,7 @@
         "tests/test_scenario.py::test_scenario[gray_cut_answers]",
     ),
     Mechanism(
-        "work that must not repeat stays out of a shut door",
+        "a target that admits only trials refuses non-repeatable requests",
         "roadpass/door.py",
         "        if not trial:\n            return False",
         "        if False:\n            return False",
@@ -162,7 +162,7 @@
         "tests/test_dispatch.py",
     ),
     Mechanism(
-        "the label of a leaving target counts",
+        "the `leaving` label of a target is respected",
         "roadpass/fleet.py",
         'leaving=value.get("leaving", False),',
         "leaving=False,",
@@ -190,91 +190,91 @@
         "tests/test_sidecar.py",
     ),
     Mechanism(
-        "what waits for a slot is sent back before the node ends",
+        "requests queued for a slot are returned before the node exits",
         "roadpass/slots.py",
         "else min(deadline, patient_until, last_start())",
         "else min(deadline, patient_until)",
         "tests/test_ending.py",
     ),
     Mechanism(
-        "what waits beside another VM is recalled before the node ends",
+        "attempts queued on another VM are recalled before the node exits",
         "roadpass/stop.py",
         "self._dispatcher.notices.send()",
         "pass",
         "tests/test_stop.py",
     ),
     Mechanism(
-        "what a target works on has all its time once its node stops",
+        "running attempts keep their full timeout once their ingress stops",
         "roadpass/stop_notices.py",
         "        self._keep()\n        self._recall()",
         "        self._recall()",
         "tests/test_ending_elsewhere.py",
     ),
     Mechanism(
-        "a recall leaves alone what runs",
+        "a recall does not stop attempts that have started",
         "roadpass/sidecar.py",
         "if verdict is Verdict.NEVER_STARTS]",
         "]",
         "tests/test_ending.py",
     ),
     Mechanism(
-        "a promise never to start is the word of the process that has the attempt",
+        "a promise never to start counts only from the process that has the attempt",
         "roadpass/transport.py",
         'or waiting.stream.peer_incarnation == word.get("incarnation")',
         "or True",
         "tests/test_stop_order.py",
     ),
     Mechanism(
-        "a silent peer is given up in time to tell the caller",
+        "an unresponsive peer is abandoned in time to answer the caller",
         "roadpass/transport.py",
         "self._give_up(unheard)",
         "pass",
         "tests/test_stop_more.py",
     ),
     Mechanism(
-        "questions to peers end before the node does",
+        "requests to peers end before the node exits",
         "roadpass/transport.py",
         "self._view.ending.asks_until - clock.now()",
         "CONNECT_S * 100.0",
         "tests/test_ending.py",
     ),
     Mechanism(
-        "who queues at the moment of a drain is sent back",
+        "requests queued when a drain begins are returned",
         "roadpass/slots.py",
         "return -math.inf if self._leaving else min",
         "return min",
         "tests/test_stop_hazards.py",
     ),
     Mechanism(
-        "answers on their way to peers are in flight",
+        "replies being sent to peers count as in flight",
         "roadpass/sidecar.py",
         "for local in self._known()) + self.replies.value",
         "for local in self._known())",
         "tests/test_stream_server.py",
     ),
     Mechanism(
-        "a slow body ends before the node does",
+        "reading a slow request body ends before the node exits",
         "roadpass/caller_connection.py",
         "if now >= last_start:",
         "if False:",
         "tests/test_ingress.py",
     ),
     Mechanism(
-        "targets keep the last second of a stop",
+        "targets may use the last second of a shutdown",
         "roadpass/stop.py",
         "STOP_MARGIN_S = 0.3",
         "STOP_MARGIN_S = 1.0",
         "tests/test_stop.py",
     ),
     Mechanism(
-        "a stop waits for work in flight",
+        "a shutdown waits for work in flight",
         "roadpass/drain.py",
         "clean = now - self._quiet_since >= QUIET_S",
         "clean = True",
         "tests/test_drain.py",
     ),
     Mechanism(
-        "a pause is no quiet time",
+        "a pause of the process does not count as idle time",
         "roadpass/drain.py",
         "            self._paused_s += since_look_s\n            self._quiet_since = now\n",
         "            self._paused_s += since_look_s\n",
@@ -288,14 +288,14 @@
         "tests/test_revision.py",
     ),
     Mechanism(
-        "racing contents settle by hash",
+        "conflicting contents of a revision are resolved by hash",
         "roadpass/revision.py",
         "return Order.CONFLICT_WINS if offered.digest > current.digest else Order.CONFLICT_LOSES",
         "return Order.CONFLICT_WINS",
         "tests/test_revision.py",
     ),
     Mechanism(
-        "a bad revision is not taken",
+        "an incomplete revision is not accepted",
         "roadpass/revision.py",
         "if content is None:\n                raise IncompleteError("
         'entry.name, ["is missing or does not match its hash"])',
@@ -318,72 +318,72 @@
     ),
 )
 
-MACHINE = "tests/test_machine.py"
-SEEN_TWICE = (
-    "not repeatable is not retried after unknown",
-    "unknown is not told as not-run",
-    "fence is taken only from the table",
+MODEL_TEST = "tests/test_machine.py"
+ALSO_MODEL_CHECKED = (
+    "a non-repeatable request is not retried after an unknown outcome",
+    "an unknown outcome is not reported as not-run",
+    "an attempt that has started cannot be fenced",
     "the age of a frame counts against its deadline",
 )
-"""Mechanisms that the machine must miss too, beside the tests named above."""
+"""Mechanisms whose loss the state machine test must detect too, besides the tests named above."""
 
-OF_MACHINE = (
+MODEL_CHECKED = (
     Mechanism(
         "a fenced attempt is not started",
         "roadpass/fence.py",
         "if entry is not None:\n                return Reason.DUPLICATE",
         "if entry is not None and entry.started:\n                return Reason.DUPLICATE",
-        MACHINE,
+        MODEL_TEST,
     ),
     Mechanism(
         "only the process that got an attempt vouches for it",
         "roadpass/transport.py",
         'if vouched and word["incarnation"] == incarnation:',
         "if vouched:",
-        MACHINE,
+        MODEL_TEST,
     ),
     Mechanism(
-        "not-run is told only if no earlier attempt may have run",
+        "not-run is reported only if no earlier attempt may have run",
         "roadpass/trip.py",
         "return self.may_have_run or outcome",
         "return outcome",
-        MACHINE,
+        MODEL_TEST,
     ),
     Mechanism(
-        "a route's most attempts",
+        "the maximum number of attempts of a route is respected",
         "roadpass/trip.py",
         "return most is None or self.arrivals < most",
         "return True",
-        MACHINE,
+        MODEL_TEST,
     ),
     Mechanism(
         "a started key is not vouched for",
         "roadpass/fence.py",
         "                return Verdict.STARTED\n            if now",
         "                pass\n            if now",
-        MACHINE,
+        MODEL_TEST,
     ),
     Mechanism(
-        "a young sidecar does not vouch for a key",
+        "a sidecar does not vouch for a key until it has run for the fence window",
         "roadpass/fence.py",
         "if now - self._started_at < self._window_s:",
         "if False:",
-        MACHINE,
+        MODEL_TEST,
     ),
     Mechanism(
         "of a fenced key only the repeat that fenced it starts",
         "roadpass/fence.py",
         "if repeat and entry.token == attempt_id:",
         "if True:",
-        MACHINE,
+        MODEL_TEST,
     ),
 )
 
 MECHANISMS = (
-    *ELSEWHERE,
-    *OF_CUSTOMERS,
-    *OF_CRASHES,
-    *OF_CHOICE,
-    *(one._replace(test=MACHINE) for one in ELSEWHERE if one.name in SEEN_TWICE),
-    *OF_MACHINE,
+    *GENERAL,
+    *CUSTOMERS,
+    *CRASH_HANDLING,
+    *TARGET_CHOICE,
+    *(one._replace(test=MODEL_TEST) for one in GENERAL if one.name in ALSO_MODEL_CHECKED),
+    *MODEL_CHECKED,
 )
--- a/tools/mechanisms_of_service.py
+++ b/tools/mechanisms_of_service.py
@@ -1,45 +1,45 @@
-"""The mechanisms that keep requests served: the choice among targets, crashes, customers."""
+"""The mechanisms of request service: choice among targets, crash handling and customers."""
 
 from tools.mechanism import Mechanism
 
-OF_CHOICE = (
+TARGET_CHOICE = (
     Mechanism(
-        "silence counts against a target",
+        "a request pending for longer than usual counts against its target",
         "roadpass/belief.py",
         "        return silent / longer\n",
         "        return 1.0\n",
         "tests/test_belief.py",
     ),
     Mechanism(
-        "losses shut a door",
+        "lost requests restrict a target to trials",
         "roadpass/belief.py",
         "                return BAD_SHARE / SOUND_LOSS\n",
         "                return 1.0\n",
         "tests/test_door.py",
     ),
     Mechanism(
-        "what is lost if it fails goes to a sure target",
+        "a request with no retry left goes only to a reliable target",
         "roadpass/trip.py",
         "            return WANTED_BAD\n",
         "            return 1.0\n",
         "tests/test_trip.py",
     ),
     Mechanism(
-        "the way to another data hall has a price",
+        "sending to another data hall has a cost",
         "roadpass/trip.py",
         "far_loss=service.far_loss_per_kb * size_kb,",
         "far_loss=0.0,",
         "tests/test_trip.py",
     ),
     Mechanism(
-        "a full target is taken at its word",
+        "the waiting time that a full target reports is remembered",
         "roadpass/load.py",
         "        if wait_ms <= 0.0 and last:\n",
         "        if True:\n",
         "tests/test_load.py",
     ),
     Mechanism(
-        "what would be late is refused",
+        "an offer that costs more than a refusal is not accepted",
         "roadpass/offer.py",
         "return offer.wait_ms <= self.most_wait_ms and self.of(offer) < REFUSED_LOSS",
         "return True",
@@ -53,81 +53,81 @@
         "tests/test_admission.py",
     ),
     Mechanism(
-        "short requests may come later",
+        "short requests may take a multiple of their latency objective",
         "roadpass/trip.py",
         "            patience=patience,\n",
         "            patience=1.0,\n",
         "tests/test_trip.py",
     ),
     Mechanism(
-        "a wait in another data hall costs its way twice",
+        "waiting in another data hall doubles the cost of sending there",
         "roadpass/offer.py",
         "FAR_WAIT_FACTOR = 2.0\n",
         "FAR_WAIT_FACTOR = 1.0\n",
         "tests/test_offer.py",
     ),
     Mechanism(
-        "requests wait while most of their kind would be in time",
+        "requests wait only while most of their kind would meet the objective",
         "roadpass/trip.py",
         "LONG_SPREADS = 0.7\n",
         "LONG_SPREADS = 1.5\n",
         "tests/test_trip.py",
     ),
     Mechanism(
-        "what nobody knows is taken to last a share of its objective",
+        "a request of unknown duration is assumed to take a share of its objective",
         "roadpass/trip.py",
         "        return USUAL_UNKNOWN_SHARE * (self.route.target_latency_ms or 0)\n",
         "        return 0.0\n",
         "tests/test_trip.py",
     ),
     Mechanism(
-        "slow is measured by the kind of a request",
+        "the threshold of slowness depends on the kind of request",
         "roadpass/dispatch.py",
         "            slow_ms = max(slow_ms, trip.slow_ms)\n",
         "            pass\n",
         "tests/test_dispatch.py",
     ),
     Mechanism(
-        "a target is told to stop before its answer is no longer awaited",
+        "the deadline sent to a target ends before the wait for its response",
         "roadpass/target.py",
         "    return left_s - min(ANSWER_MARGIN_S, ANSWER_MARGIN_SHARE * left_s)\n",
         "    return left_s\n",
         "tests/test_target.py",
     ),
     Mechanism(
-        "doors share out the repeats",
+        "retries are limited by the budget of each target, not of each ingress",
         "roadpass/catalogue.py",
         "        retry_burst=math.inf,\n",
         "        retry_burst=max(1.0, slack / max(1, len(serving))),\n",
         "tests/test_crowd.py",
     ),
 )
-"""Mechanisms of the choice among targets, which docs/DECISIONS.md also measures one by one."""
+"""Mechanisms of the choice among targets; docs/DECISIONS.md also measures the effect of each."""
 
-OF_CRASHES = (
+CRASH_HANDLING = (
     Mechanism(
-        "three targets that ended under a request keep it from others",
+        "a request during which three targets crashed is quarantined",
         "roadpass/quarantine.py",
         "if self.count >= ENDS else 0.0",
         "if self.count < 0 else 0.0",
         "tests/test_crashing.py",
     ),
     Mechanism(
-        "an answer voids the ends before it",
+        "a response cancels the crashes before it",
         "roadpass/quarantine.py",
         "            record.answered_at = now\n",
         "            pass\n",
         "tests/test_quarantine.py",
     ),
     Mechanism(
-        "an answer lately seen speaks for a popular request",
+        "a recent response seen locally cancels crashes reported by peers",
         "roadpass/quarantine.py",
         "        record.answered_at = max(record.answered_at, answered_at)\n",
         "        pass\n",
         "tests/test_quarantine.py",
     ),
     Mechanism(
-        "two in doubt are kept apart",
+        "two suspect requests do not run on one target at once",
         "roadpass/crash_guard.py",
         "            return NotRun(Reason.KEPT_APART, RETRY_SOON_MS)\n",
         "            return None\n",
@@ -141,14 +141,14 @@
         "tests/test_crashed_target.py",
     ),
     Mechanism(
-        "a door tells of a request under which targets ended",
+        "an ingress records the crashes that a sidecar's reply reports",
         "roadpass/learning.py",
         "            self._quarantine.hear(now, reply.crash)\n",
         "            pass\n",
         "tests/test_quarantined_request.py",
     ),
     Mechanism(
-        "ends are told to other nodes",
+        "crashes are gossiped to other nodes",
         "roadpass/gossip.py",
         '            message["crashes"] = crashes\n',
         "            pass\n",
@@ -170,58 +170,58 @@
     ),
 )
 
-OF_CUSTOMERS = (
+CUSTOMERS = (
     Mechanism(
-        "what a caller says of its customer ends at the ingress",
+        "a caller's customer header is not forwarded to targets",
         "roadpass/caller_head.py",
         "names += [dialect.expected_instance, dialect.customer]",
         "names += [dialect.expected_instance]",
         "tests/test_access.py",
     ),
     Mechanism(
-        "a key ends at the ingress",
+        "a caller's key is not forwarded to targets",
         "roadpass/caller_head.py",
         "        names.append(dialect.authorization)\n",
         "        pass\n",
         "tests/test_access.py",
     ),
     Mechanism(
-        "a key is looked at again once a body has come",
+        "a key is checked again after the request body was read",
         "roadpass/caller_connection.py",
         "if body:  # it may",
         "if False:  # it may",
         "tests/test_access.py",
     ),
     Mechanism(
-        "an owner begins with nothing of a burst",
+        "a new quota owner starts without any of the burst",
         "roadpass/quota_ledger.py",
         "    level: float = 0.0\n",
         "    level: float = 1e9\n",
         "tests/test_quota.py",
     ),
     Mechanism(
-        "an ingress without a word admits its part of a limit only",
+        "an ingress without an allowance admits only its share of the limit",
         "roadpass/quota_gate.py",
         "if now - demand.unheard_since > UNHEARD_S:",
         "if False:",
         "tests/test_quota.py",
     ),
     Mechanism(
-        "a report without a word is repeated",
+        "a quota report without a reply is repeated",
         "roadpass/quota_gate.py",
         "return age_s >= HOT_REPORT_S and 0.0 <= now",
         "return False and 0.0 <= now",
         "tests/test_quota.py",
     ),
     Mechanism(
-        "failures are learnt from in hindsight",
+        "failures during a target's outage are not learnt as usual failures",
         "roadpass/failure_share.py",
         "self._learn(names, failed=True, weight=1.0 - bad)",
         "self._learn(names, failed=True, weight=1.0)",
         "tests/test_failure_share.py",
     ),
     Mechanism(
-        "a failure is a loss to the door",
+        "a failed response delays the next trial as a lost request does",
         "roadpass/door.py",
         "if end in (End.LOST, End.SILENT, End.FAILED) and",
         "if end in (End.LOST, End.SILENT) and",
