--- a/tests/calling.py
+++ b/tests/calling.py
@@ -1,4 +1,4 @@
-"""An ingress with a dispatcher that a test sets, and callers of it over real sockets."""
+"""An ingress with a scripted dispatcher, and callers that use it over real sockets."""
 
 import socket
 import time
@@ -17,7 +17,7 @@
 from roadpass.view import View
 
 WAIT_S = 5.0
-"""Seconds until a test gives up waiting for something that should be there at once."""
+"""Timeout for conditions that normally hold at once."""
 GET = b"GET /a HTTP/1.1\r\nHost: shop\r\n\r\n"
 PLAIN = Dialect(
     deadline="X-Left-Ms",
@@ -32,13 +32,13 @@
 
 
 class LimitedView(View):
-    """A view whose limits a test sets."""
+    """A view with limits that the test sets."""
 
     limits: CallerLimits
 
 
 class Reply(NamedTuple):
-    """An answer as a caller sees it."""
+    """A response as the caller receives it."""
 
     status: int
     phrase: str
@@ -46,14 +46,14 @@
     body: bytes
 
     def header(self, name: str) -> str | None:
-        """Return the only header of that name, `None` if it is missing."""
+        """Return the value of a header, `None` if it is missing; fail if it occurs twice."""
         found = [value for given, value in self.headers if given.lower() == name.lower()]
         assert len(found) <= 1, self.headers
         return found[0] if found else None
 
 
 class Caller:
-    """A caller's end of a connection."""
+    """The caller's end of a connection."""
 
     def __init__(self, address: tuple[str, int]) -> None:
         self.sock = socket.create_connection(address, timeout=WAIT_S)
@@ -63,7 +63,7 @@
         self.sock.sendall(data)
 
     def reply(self, *, bodiless: bool = False) -> Reply:
-        """Read one answer."""
+        """Read one response; with `bodiless`, none of its body."""
         version, status, phrase = self._line().split(" ", 2)
         assert version == "HTTP/1.1"
         headers = []
@@ -75,7 +75,7 @@
         return Reply(int(status), phrase, headers, body)
 
     def ask(self, data: bytes) -> Reply:
-        """Send a request and read its answer."""
+        """Send a request and read its response."""
         self.send(data)
         return self.reply()
 
@@ -94,7 +94,7 @@
 
 
 class Bench:
-    """An ingress with a dispatcher that a test sets."""
+    """An ingress with a scripted dispatcher."""
 
     def __init__(self, dialect: Dialect, limits: CallerLimits, port: int = 0) -> None:
         self.requests: list[Request] = []
@@ -118,22 +118,22 @@
         return value
 
     def dispatch(self, request: Request) -> Served:
-        """Note a request and do what the test wants."""
+        """Record a request and serve it as the test has set."""
         self.requests.append(request)
         return self.serve(request)
 
     def answer(self, outcome: Outcome) -> None:
-        """Give this outcome from now on."""
+        """Return this outcome for every request from now on."""
         self.serve = lambda _: Served(outcome, "shop", "counter")
 
     def caller(self) -> Caller:
-        """Return a new connection."""
+        """Open a connection; `close` closes it."""
         caller = Caller(self.address)
         self._callers.append(caller)
         return caller
 
     def outcomes(self) -> list[tuple[str, str, str, str]]:
-        """Return what was counted, with all counts being one."""
+        """Return the counted outcomes; fail if one was counted more than once."""
         counted = self.metrics.summary()["outcomes"]
         assert all(each["count"] == 1 for each in counted)
         return [(e["service"], e["traffic_class"], e["outcome"], e["reason"]) for e in counted]
@@ -148,7 +148,7 @@
 def opened(
     dialect: Dialect = OWN, limits: CallerLimits | None = None, port: int = 0
 ) -> Iterator[Bench]:
-    """Run an ingress."""
+    """Run an ingress until the context ends."""
     bench = Bench(dialect, limits or CallerLimits(), port)
     try:
         yield bench
@@ -157,20 +157,20 @@
 
 
 def until(done: Callable[[], bool]) -> None:
-    """Wait until something holds."""
+    """Wait until `done` returns true; fail after `WAIT_S`."""
     limit = clock.now() + WAIT_S
     while not done():
-        assert clock.now() < limit, "it never came about"
+        assert clock.now() < limit, "condition not met in time"
         time.sleep(0.005)
 
 
 def post(body: bytes, headers: str = "") -> bytes:
-    """Return a request with a body of that length."""
+    """Return a POST request with this body."""
     head = f"POST /a HTTP/1.1\r\nHost: shop\r\nContent-Length: {len(body)}\r\n{headers}\r\n"
     return head.encode() + body
 
 
 def watch_of(request: Request) -> CallerWatch:
-    """Return a request's watch."""
+    """Return the watch on a request's caller; fail if it has none."""
     assert request.watch is not None
     return request.watch
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Property tests give the same verdict at every run; what several tests listen on."""
+"""Makes property tests deterministic, and provides a listening socket."""
 
 import socket
 from collections.abc import Iterator
@@ -12,6 +12,6 @@
 
 @pytest.fixture
 def listener() -> Iterator[socket.socket]:
-    """Return a listening socket that the test answers on."""
+    """Return a listening socket on which the test plays the server."""
     with socket.create_server(("127.0.0.1", 0)) as listening:
         yield listening
--- a/tests/fake_sidecar.py
+++ b/tests/fake_sidecar.py
@@ -1,4 +1,4 @@
-"""A dispatcher beside a fake sidecar that gives the outcomes of a script."""
+"""A dispatcher with a fake sidecar that returns scripted outcomes."""
 
 import json
 import time
@@ -20,11 +20,11 @@
 
 VM = "vm-1"
 BEHIND: dict[str, int] = {}
-"""VMs that were reported to hold a newer revision."""
+"""Newer revisions that were reported, by VM."""
 
 
 class FakeSidecar(Sidecar):
-    """Gives the outcomes of a script, then refuses; notes what was run."""
+    """Returns scripted outcomes, then refuses; records the attempts."""
 
     def __init__(self, script: Sequence[Outcome | Reply]) -> None:
         self.script: list[Outcome | Reply] = list(script)
@@ -45,7 +45,7 @@
 
 
 class SlowSidecar(FakeSidecar):
-    """Takes a moment for each attempt."""
+    """Takes 5 ms for each attempt."""
 
     def run(self, attempt: Attempt, age_s: float = 0.0, watch: CallerWatch | None = None) -> Reply:
         time.sleep(0.005)
@@ -53,7 +53,7 @@
 
 
 class WaitingSidecar(FakeSidecar):
-    """Takes longer for an attempt that may wait than a word of a full target holds."""
+    """Takes longer for an attempt that may wait than the load report of a full target is valid."""
 
     def run(self, attempt: Attempt, age_s: float = 0.0, watch: CallerWatch | None = None) -> Reply:
         if attempt.may_wait:
@@ -62,7 +62,7 @@
 
 
 def fleet(**service: object) -> Fleet:
-    """Return a fleet with one service on one VM."""
+    """Return a fleet with one service of four targets, all on one VM."""
     value = {
         "services": {"s": {"floor_slots": 1, "retry_ratio": 0.5, **service}},
         "targets": {
@@ -78,7 +78,7 @@
 
 
 def dispatcher(sidecar: Sidecar, **service: object) -> Dispatcher:
-    """Return a ready dispatcher on the fleet."""
+    """Return a ready dispatcher for `fleet(**service)`."""
     view = View(VM, "hall", "region")
     view.fleet = fleet(**service)
     view.ready = True
@@ -88,5 +88,5 @@
 
 
 def request(method: str = "POST", **fields: object) -> Request:
-    """Return a request."""
+    """Return a request with an empty body; `fields` are set on it."""
     return Request("h", method, "/x", [], b"", "c", **fields)  # type: ignore[arg-type]
--- a/tests/naive.py
+++ b/tests/naive.py
@@ -1,4 +1,4 @@
-"""Naive twins: the plainest correct form of a decision, to compare the product's with."""
+"""Reference implementations: the simplest correct form of each decision, to test against."""
 
 import math
 from collections.abc import Collection, Mapping, Sequence
@@ -12,7 +12,7 @@
 
 
 def in_window(window: Window, instant: datetime) -> bool:
-    """Walk from the window's starts of yesterday and today, minute by minute in local time."""
+    """Check the windows that start yesterday and today, in local time."""
     local = instant.astimezone(ZoneInfo(window.zone)).replace(tzinfo=None)
     for back in (0, 1):
         day = (local - timedelta(days=back)).date()
@@ -33,7 +33,7 @@
     targets: Sequence[Labelled],
     instant: datetime,
 ) -> list[set[str]]:
-    """Return the groups of target names, straight from the words of the documentation."""
+    """Return the groups of target names, as the documentation defines them."""
     speaking = [
         s
         for s in selectors
@@ -63,7 +63,7 @@
 
 
 def find_route(routes: Sequence[Route], host: str, path: str, method: str) -> Route | None:
-    """Try every route and keep the best."""
+    """Return the best of all matching routes."""
     best: tuple[tuple[bool, int, bool], str, Route] | None = None
     for route in routes:
         prefix = route.path.rstrip("/")
@@ -81,7 +81,7 @@
 
 @dataclass
 class Fences:
-    """The at-most-once table as plain history: what was started and what was fenced."""
+    """The at-most-once table as a plain history of starts and fences."""
 
     started: set[str] = field(default_factory=set)
     fenced: set[str] = field(default_factory=set)
@@ -89,7 +89,7 @@
     tokens: dict[str, str] = field(default_factory=dict)
 
     def claim(self, attempt: str, key: str, repeat: bool) -> bool:
-        """Tell whether an attempt may start, and note that it does."""
+        """Return whether an attempt may start, and record that it does."""
         if attempt in self.started or attempt in self.fenced or key in self.started_keys:
             return False
         if key in self.tokens and not (repeat and self.tokens[key] == attempt):
@@ -102,14 +102,14 @@
         return True
 
     def fence(self, attempt: str) -> bool:
-        """Tell whether an attempt never starts from now on."""
+        """Return whether an attempt will never start from now on."""
         if attempt in self.started:
             return False
         self.fenced.add(attempt)
         return True
 
     def fence_key(self, key: str, token: str) -> bool:
-        """Tell whether only `token` may still start a key."""
+        """Return whether only `token` may still start a key."""
         if key in self.started_keys:
             return False
         self.tokens[key] = token
@@ -117,7 +117,7 @@
 
 
 class NaiveEjector:
-    """Five failures in a row, 30 s out, at most half out."""
+    """Ejects a target for 30 s after five consecutive failures; at most half of them at once."""
 
     FAILURES = 5
     OUT_S = 30.0
@@ -128,11 +128,11 @@
         self.ejections = 0
 
     def serving(self, now: float) -> list[str]:
-        """Return the targets that are in."""
+        """Return the targets that are not ejected."""
         return [name for name, until in self._until.items() if now >= until]
 
     def record(self, now: float, name: str, failed: bool) -> None:
-        """Take in one outcome."""
+        """Record one outcome."""
         self._row[name] = self._row[name] + 1 if failed else 0
         out = len(self._until) - len(self.serving(now))
         if self._row[name] >= self.FAILURES and out + 1 <= len(self._until) // 2:
@@ -145,7 +145,7 @@
 
 
 def cusum(outcomes: Sequence[bool], base: float, sick: float) -> float:
-    """Return the largest log-likelihood ratio over all suffixes; differs above the cap only."""
+    """Return the largest log-likelihood ratio over all suffixes; the real one has a cap."""
     steps = [
         math.log(sick / base) if bad else math.log((1.0 - sick) / (1.0 - base)) for bad in outcomes
     ]
@@ -153,7 +153,10 @@
 
 
 def ejected(scores: Mapping[str, float], slots: int, floor: int) -> set[str]:
-    """Take the worst away one by one while the floor allows; all were in service before."""
+    """Return the targets that are ejected, worst first, while the floor allows it.
+
+    All were in service before.
+    """
     out: set[str] = set()
     for name in sorted(scores, key=lambda n: (-scores[n], n)):
         left = (len(scores) - len(out) - 1) * slots
@@ -168,7 +171,7 @@
     excluded: Collection[str],
     repeatable: bool,
 ) -> set[str]:
-    """Return every name that a pick may give; which of them is left to chance and cost."""
+    """Return every name that a pick may return; cost and chance decide between them."""
 
     def usable(group: Sequence[Candidate]) -> list[Candidate]:
         return [
@@ -190,10 +193,10 @@
 
 
 class NaiveAdmission:
-    """Slots, reserved shares and a queue as plain lists; every request from another caller.
+    """Slots, reserved shares and a queue as plain lists; every request has its own caller.
 
-    The product may differ where one caller sends several requests (turns), where a deadline is
-    near (early refusal) and for retries: this twin knows none of them.
+    The real admission may differ if one caller sends several requests (fair turns), if a deadline
+    is near (early refusal) and for retries: this reference has none of them.
     """
 
     def __init__(self, reserved: Sequence[float], slots: int, queue_limit: int) -> None:
@@ -204,7 +207,7 @@
         self.waiting: list[tuple[int, int]] = []
 
     def offer(self, number: int, rank: int) -> str:
-        """Return `run`, `wait` or `refuse` for a request of the class with a rank."""
+        """Return `run`, `wait` or `refuse` for a request of the class of that rank."""
         if not any(r == rank for r, _ in self.waiting) and self._may_run(rank):
             self.running[rank] += 1
             return "run"
@@ -217,7 +220,7 @@
         return "wait"
 
     def release(self, rank: int) -> list[int]:
-        """Return the numbers that start when a request of a class has ended."""
+        """Return the numbers of the requests that start when one of the class ends."""
         self.running[rank] -= 1
         started = []
         for one in sorted(self.waiting):
--- a/tests/played_target.py
+++ b/tests/played_target.py
@@ -1,4 +1,4 @@
-"""A target that the test itself plays, and a client of it whose requests run aside."""
+"""A target that the test plays by hand, and a client that sends requests in threads."""
 
 import contextlib
 import socket
@@ -27,11 +27,11 @@
 BY_CLOSE = OWN._replace(ends_by_close=True)
 WHOLE = OK + b"Content-Length: 2\r\n\r\nhi"
 LONG = 64 * 1024 * 1024
-"""Bytes of a body that no socket buffer takes whole."""
+"""Length of a body that exceeds every socket buffer, in bytes."""
 
 
 class Caller:
-    """A caller that may close, watched over a socket pair."""
+    """A caller that the test can disconnect, watched over a socket pair."""
 
     watchable = True
 
@@ -44,13 +44,13 @@
         return self.near.fileno()
 
     def gone(self) -> bool:
-        """Take in what has come."""
+        """Read what has arrived; return whether the caller has closed."""
         self.looks += 1
         return not self.near.recv(100)
 
 
 class Fleet:
-    """A listening target that the test plays, and a client of it whose requests run aside."""
+    """A listening target that the test plays by hand, and a client of it."""
 
     def __init__(self, listener: socket.socket, dialect: Dialect = OWN, **options: int) -> None:
         self.listener = listener
@@ -59,7 +59,7 @@
         self.client = TargetClient(f"{host}:{port}", dialect=dialect, **options)
 
     def ask(self, attempt_id: str = "a/1/1", **changes: Any) -> "Future[TargetAnswer]":
-        """Start a request."""
+        """Start a request in a thread; `changes` replace arguments of `TargetClient.send`."""
         given: dict[str, Any] = {"method": "GET", "path": "/x", "headers": [], "body": b""}
         given |= {"timeout_s": 5.0, "fresh": False, "request_id": "r1"}
         given |= changes
@@ -75,13 +75,13 @@
         return future
 
     def accept(self) -> socket.socket:
-        """Return the next connection of the client."""
+        """Accept the next connection of the client."""
         sock, _ = self.listener.accept()
         sock.settimeout(5.0)
         return sock
 
     def no_connection(self) -> bool:
-        """Return whether the client opens none for a while."""
+        """Return whether the client opens no connection for 0.1 s."""
         self.listener.settimeout(0.1)
         try:
             self.listener.accept()
@@ -92,7 +92,7 @@
         return False
 
     def kept(self, answer: bytes = WHOLE) -> socket.socket:
-        """Run one request, and return its connection."""
+        """Run one request; return its connection, which the client may keep for reuse."""
         future = self.ask()
         sock = self.accept()
         head_of(sock)
@@ -101,7 +101,7 @@
         return sock
 
     def asks_anew(self, **changes: Any) -> bool:
-        """Run another request; return whether it came over a new connection."""
+        """Run another request; return whether it used a new connection."""
         self.listener.settimeout(0.1)
         future = self.ask(**changes)
         try:
@@ -117,7 +117,7 @@
 
 
 def head_of(sock: socket.socket) -> list[str]:
-    """Read a request's head; return its lines."""
+    """Read the head of a request; return its lines."""
     data = b""
     while b"\r\n\r\n" not in data:
         part = sock.recv(1)
@@ -127,13 +127,13 @@
 
 
 def reset(sock: socket.socket) -> None:
-    """Close with a reset."""
+    """Reset the connection."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     sock.close()
 
 
 def closed(sock: socket.socket) -> bool:
-    """Return whether the client has closed, after whatever it sent."""
+    """Read until the client has closed; return true."""
     with contextlib.suppress(ConnectionResetError):
         while sock.recv(1 << 20):
             pass
@@ -141,7 +141,7 @@
 
 
 def exchange(fleet: Fleet, answer: bytes, **changes: Any) -> TargetAnswer:
-    """Run one request against an answer after which the target closes."""
+    """Run one request to which the target sends `answer` and then closes."""
     future = fleet.ask(**changes)
     with fleet.accept() as sock:
         head_of(sock)
--- a/tests/relay.py
+++ b/tests/relay.py
@@ -1,4 +1,4 @@
-"""A relay between nodes that can cut one direction: datagrams are lost, streams stall."""
+"""A relay between nodes that can cut one direction: it drops datagrams and stalls streams."""
 
 import asyncio
 import contextlib
@@ -17,9 +17,9 @@
     """Listens on the advertised address of every node and forwards to its real one.
 
     Args:
-        net: Third number of the nodes' real addresses.
-        advertise_net: Third number of the advertised addresses.
-        count: Nodes, numbered from 1.
+        net: Third byte of the nodes' real addresses.
+        advertise_net: Third byte of the advertised addresses.
+        count: Number of nodes; they are numbered from 1.
     """
 
     def __init__(self, net: int, advertise_net: int, count: int) -> None:
@@ -37,21 +37,21 @@
         asyncio.run_coroutine_threadsafe(self._listen(), self._loop).result(10.0)
 
     def stop(self) -> None:
-        """Stop to forward and free the addresses."""
+        """Stop forwarding and free the addresses."""
         asyncio.run_coroutine_threadsafe(self._close(), self._loop).result(10.0)
         self._loop.call_soon_threadsafe(self._loop.stop)
         self._thread.join(10.0)
 
     def cut(self, sources: Sequence[str], destinations: Sequence[str]) -> None:
-        """Let nothing through from some nodes' addresses to others'."""
+        """Block all traffic from the source addresses to the destination addresses."""
         self._cuts |= {(one, other) for one in sources for other in destinations}
 
     def heal(self, sources: Sequence[str], destinations: Sequence[str]) -> None:
-        """Undo a cut; what stalled in streams is delivered late."""
+        """Undo a cut; stalled data of streams is then delivered."""
         self._cuts -= {(one, other) for one in sources for other in destinations}
 
     def is_cut(self, source: str, destination: str) -> bool:
-        """Tell whether a direction is cut."""
+        """Return whether a direction is cut."""
         return (source, destination) in self._cuts
 
     async def _listen(self) -> None:
@@ -101,7 +101,7 @@
 
 
 class _Datagrams(asyncio.DatagramProtocol):
-    """Forwards the datagrams to one node."""
+    """Forwards datagrams to one node."""
 
     def __init__(self, relay: Relay, real: str) -> None:
         self._relay = relay
--- a/tests/scenario.py
+++ b/tests/scenario.py
@@ -1,10 +1,10 @@
-"""A small language for scenarios of failure, and its runner against real processes.
+"""A small language for failure scenarios, and its runner with real processes.
 
-One step a line, `#` starts a comment:
+One step per line; `#` starts a comment:
 
     fleet NAME [keyed]              documents under examples/NAME; keyed: with a MAC
     callers VM ...                  ingresses that callers use
-    traffic METHOD PATH RATE        requests a second
+    traffic METHOD PATH RATE        requests per second
     run SECONDS                     length of the traffic
     at SECONDS FAULT [for SECONDS]  a fault, undone after a while
     expect CHECK
@@ -42,7 +42,7 @@
 
 
 class Fault(NamedTuple):
-    """A fault at a time, undone after `length_s` if that is not `None`."""
+    """A fault, undone after `length_s` unless that is `None`."""
 
     at_s: float
     words: tuple[str, ...]
@@ -62,7 +62,7 @@
 
     @classmethod
     def from_file(cls, path: Path) -> "Scenario":
-        """Parse a scenario; an unknown line is an error."""
+        """Parse a scenario; raise `ValueError` for an unknown step."""
         fields: dict[str, Any] = {"loads": [], "faults": [], "checks": [], "keyed": False}
         for line in path.read_text().splitlines():
             words = line.partition("#")[0].split()
@@ -85,7 +85,7 @@
                 case ["expect", *check]:
                     fields["checks"].append(tuple(check))
                 case _:
-                    raise ValueError(f"{path.name}: not a step: {line}")
+                    raise ValueError(f"{path.name}: unknown step: {line}")
         for name in ("loads", "faults", "checks"):
             fields[name] = tuple(fields[name])
         return cls(**fields)
@@ -112,7 +112,7 @@
         self._started = 0.0
 
     def run(self) -> None:
-        """Run the traffic and the faults, then every check."""
+        """Run the traffic and the faults, then all checks."""
         if self._relay:
             self._relay.start()
         try:
@@ -189,7 +189,7 @@
                 return self._race, _nothing
             case ("vms-leaving", vm):
                 return lambda: fleet.set_vms([vm]), lambda: fleet.set_vms([])
-        raise ValueError(f"no such fault: {' '.join(words)}")
+        raise ValueError(f"unknown fault: {' '.join(words)}")
 
     def _kill(self, name: str) -> None:
         self._down.add(name)
@@ -239,14 +239,14 @@
         self._fleet.publish({"all": '{"services": 7}'})
 
     def _race(self) -> None:
-        """Two operators publish different contents under one number, seen one after the other."""
+        """Publish different contents under one revision number, one after the other."""
         for value in ("one", "two"):
             documents = self._changed(partial(_set_race, value))
             self._fleet.publish(documents, revision=2)
             time.sleep(0.7)
 
     def _check(self, check: tuple[str, ...]) -> None:
-        """Run one check; each raises `AssertionError` with what was found."""
+        """Run one check; raise `AssertionError` with the values found if it fails."""
         match check:
             case ("promises",):
                 self._check_promises()
@@ -284,7 +284,7 @@
                 lines = [f"{e['subject']} {e['evidence']}" for e in events if e["kind"] == kind]
                 assert_that(lines, AnyMatch(MatchesRegex(f".*{pattern}")))
             case _:
-                raise ValueError(f"no such check: {' '.join(check)}")
+                raise ValueError(f"unknown check: {' '.join(check)}")
 
     def _check_promises(self) -> None:
         begun: Counter[str] = Counter()
@@ -293,9 +293,9 @@
                 begun.update(self._fleet.ledger(name)["begun"])
         methods = {load.path: load.method for load in self._scenario.loads}
         twice = [r for r in self._results if methods[r.path] == "POST" and begun[r.id] > 1]
-        assert_that(twice, HasLength(0), "not repeatable, and run twice")
+        assert_that(twice, HasLength(0), "not repeatable, but ran twice")
         ran = [r for r in self._results if r.outcome == "not-run" and begun[r.id]]
-        assert_that(ran, HasLength(0), "told as not run, and run")
+        assert_that(ran, HasLength(0), "reported as not run, but ran")
         wrong = [result for result in self._results if result.wrong]
         assert_that(wrong, HasLength(0), "wrong answers")
         assert_that(self._results, Not(HasLength(0)), "no traffic")
@@ -311,7 +311,7 @@
     def _eventually(self, condition: Callable[[], bool], found: Callable[[], Any]) -> None:
         deadline = clock.now() + SETTLE_S
         while not condition():
-            assert clock.now() < deadline, f"never so: {found()}"
+            assert clock.now() < deadline, f"condition not met in time, last value: {found()}"
             time.sleep(0.1)
 
     def _statuses(self, field: str) -> set[Any]:
@@ -332,7 +332,7 @@
 
 
 def _nothing() -> None:
-    """Undo nothing."""
+    """Do nothing: the fault cannot be undone."""
 
 
 def _set_race(value: str, targets: dict[str, Any]) -> None:
--- a/tests/stopping.py
+++ b/tests/stopping.py
@@ -1,7 +1,7 @@
-"""Nodes as processes that are told to stop, targets that take as long as told, and callers.
+"""Nodes as processes that receive SIGTERM, targets with a set service time, and callers.
 
-Each node has an address of its own, and its target one port beside it. The path of a request tells
-its target how many seconds to take: `/get/1.5`.
+Each node has its own address, and its target listens on a port of that address. The path of a
+request gives its service time in seconds: `/get/1.5`.
 """
 
 import http.client
@@ -25,13 +25,17 @@
 GRACE_S = 6.0
 """Seconds from SIGTERM to SIGKILL."""
 TIMEOUT_S, OBJECTIVE_S = 20, 4
-"""Of both routes: no time of their own ends a request before its node's stop, and while nobody
-knows how long a kind takes, its objective lets what waits wait on until the midst of the stop."""
+"""Timeout and latency objective of both routes.
+
+The timeout is so long that it ends no request before the shutdown of its node. While the typical
+latency of a kind is unknown, the objective lets queued requests wait until the middle of the
+shutdown.
+"""
 POLL_S = 0.02
 
 
 class TimedTarget:
-    """Runs requests for as long as each path tells; notes when each came."""
+    """Runs requests for the time that each path gives; records when each arrived."""
 
     def __init__(self, ip: str) -> None:
         self.came: dict[str, float] = {}
@@ -39,7 +43,7 @@
         threading.Thread(target=self._accept, daemon=True).start()
 
     def close(self) -> None:
-        """Stop to listen, also for the thread that accepts."""
+        """Stop listening, and end the thread that accepts."""
         self.listener.shutdown(socket.SHUT_RDWR)
         self.listener.close()
 
@@ -57,7 +61,7 @@
                 identity = _header(head, b"Request-Id")
                 self.came[identity.decode()] = clock.now()
                 took_s = float(head.split(b" ", 2)[1].rpartition(b"/")[2])
-                if select.select([sock], [], [], took_s)[0]:  # whoever asked has left
+                if select.select([sock], [], [], took_s)[0]:  # the client has closed the connection
                     return
                 sock.sendall(
                     b"HTTP/1.1 200 OK\r\nRequest-Id: " + identity + b"\r\nServer-Signature: s1\r\n"
@@ -66,13 +70,13 @@
 
 
 class Asked(threading.Thread):
-    """One request and what its caller saw: a status, or a connection that ended without one.
+    """One request in a thread, with its status, 0 if the connection ended without a response.
 
     Args:
-        ip: Of the node.
-        method: `GET` may repeat, `POST` must not.
-        took_s: Seconds that its target takes.
-        identity: The caller's id for it.
+        ip: Address of the node.
+        method: `GET` may be repeated, `POST` must not.
+        took_s: Service time at the target, in seconds.
+        identity: Request id that the caller sends.
     """
 
     def __init__(self, ip: str, method: str, took_s: float, identity: str) -> None:
@@ -101,13 +105,13 @@
 
 
 class Stopping:
-    """Nodes with a target of one slot each, and the store that names them.
+    """Nodes with a target of one slot each, and the store that publishes the targets.
 
     Args:
-        folder: For settings and logs.
-        net: Third number of the addresses.
-        nodes: How many.
-        served: Numbers of the nodes whose targets are published, all by default.
+        folder: Folder for settings and logs.
+        net: Third byte of the addresses.
+        nodes: Number of nodes.
+        served: Numbers of the nodes whose targets are published; all by default.
     """
 
     def __init__(self, folder: Path, net: int, nodes: int, served: tuple[int, ...] = ()) -> None:
@@ -126,7 +130,7 @@
             wait_until(lambda ip=ip: _is_ready(ip), 15.0)  # type: ignore[misc]
 
     def publish(self, number: int) -> None:
-        """Have the store name a node's target."""
+        """Publish a node's target in the store."""
         value = entry(f"{self.ips[number]}:{TARGET_PORT}")
         value["Info"]["Capacity"] = 1
         self.store.put(f"servers/i-{number}", value)
@@ -136,13 +140,13 @@
         return Asked(self.ips[node], method, took_s, identity)
 
     def ask_target(self, node: int, target: int, method: str, took_s: float, name: str) -> Asked:
-        """Send one request, and wait until a target runs it."""
+        """Send one request, and wait until it has reached a target."""
         asked = self.ask(node, method, took_s, name)
         wait_until(lambda: name in self.targets[target].came, 5.0)
         return asked
 
     def tell_to_stop(self, number: int) -> float:
-        """Send SIGTERM, and SIGKILL when the grace time is over; return the moment."""
+        """Send SIGTERM, and SIGKILL after `GRACE_S`; return the time of the SIGTERM."""
         process = self.processes[number]
         told_at = clock.now()
         process.send_signal(signal.SIGTERM)
@@ -152,12 +156,12 @@
         return told_at
 
     def log(self, number: int) -> list[dict[str, Any]]:
-        """Return what a node has logged."""
+        """Return the JSON log lines of a node."""
         lines = (self._folder / f"{self.ips[number]}.log").read_text().splitlines()
         return [json.loads(line) for line in lines if line.startswith("{")]
 
     def close(self) -> None:
-        """End what was started."""
+        """Kill all nodes, and close the targets and the store."""
         for process in self.processes:
             process.kill()
             process.wait()
@@ -182,10 +186,10 @@
 
 
 def wait_until(holds: Callable[[], bool], limit_s: float) -> None:
-    """Wait until something holds."""
+    """Wait until `holds` returns true; fail after `limit_s`."""
     deadline = clock.now() + limit_s
     while not holds():
-        assert clock.now() < deadline, "not in time"
+        assert clock.now() < deadline, "condition not met in time"
         time.sleep(POLL_S)
 
 
--- a/tests/store_bench.py
+++ b/tests/store_bench.py
@@ -1,4 +1,4 @@
-"""A store with a configuration and a target, and a client of it."""
+"""A store with one configuration and one target, and a client of it."""
 
 from typing import Any
 
@@ -10,7 +10,7 @@
 
 
 class Bench:
-    """A store with one configuration and one target."""
+    """A store with one configuration and one target; `start` also makes a client of it."""
 
     def __init__(self) -> None:
         self.state = StoreState()
@@ -20,7 +20,7 @@
         self.metrics = Metrics()
 
     def start(self) -> None:
-        """Listen."""
+        """Listen, and create the client."""
         self.server.start_thread()
         host, port = self.server.bind_addr
         self.client = StoreClient(f"{host}:{port}", self.metrics)
