--- a/tests/crowd.py
+++ b/tests/crowd.py
@@ -1,9 +1,10 @@
-"""A crowd of callers before targets in trouble, in virtual time and one process.
+"""Simulates many callers of faulty targets, in virtual time and one process.
 
-The nodes are real: their ingress decides, asks and repeats, and their sidecars admit, believe and
-count as they do anywhere. Only what lies between and behind them is a model: ways that take a fixed
-time, and targets with slots, a spread of work, trouble by a schedule, and calls to other services
-while a slot is held. So one can ask who waits, who is refused and where the work goes.
+The nodes run the real code: ingresses choose targets, query sidecars and retry; sidecars admit
+requests, estimate failures and count. Only the network and the targets are modelled: links have a
+fixed latency; targets have slots, a distribution of service times, scheduled faults, and calls to
+other services that they make while they hold a slot. Tests measure which requests are served,
+refused or delayed, and by which targets.
 """
 
 import math
@@ -34,11 +35,11 @@
 
 PORT = 7000
 TICK_S = 0.1
-"""Seconds between looks of a node at what its targets have had for long."""
+"""Seconds between scans of a node for requests that its target has run for long."""
 NEAR_TOLD = 3
-"""Nodes of the data hall that hear of news at once, and one of any."""
+"""Nodes of its own data hall to which a node sends each update; one of any hall gets it too."""
 FIRST_S = 100.0
-"""Virtual time at which the callers begin."""
+"""Virtual time of the first request, in seconds."""
 
 
 class _Word(NamedTuple):
@@ -46,7 +47,7 @@
 
 
 class _Stream:
-    """A stream to a peer: its sidecar answers, a way there and back later."""
+    """A stream to a peer; its sidecar replies after one round trip."""
 
     idle_since = 0.0
     peer_incarnation = 1
@@ -68,11 +69,11 @@
         return _Word(reply)
 
     def close(self) -> None:
-        """Nothing is held."""
+        """Do nothing: the stream holds no resources."""
 
 
 class _Peers:
-    """Stands in for the pool of streams to other nodes."""
+    """Replaces the pool of streams to other nodes."""
 
     def __init__(self, crowd: "Crowd", node: "CrowdNode") -> None:
         self._crowd = crowd
@@ -91,14 +92,14 @@
         return stream.receive().message
 
     def release(self, *_: Any) -> None:
-        """Nothing is kept."""
+        """Do nothing: streams are not pooled."""
 
     def drop(self, *_: Any) -> None:
-        """Nothing is kept."""
+        """Do nothing: streams are not pooled."""
 
 
 class CrowdNode:
-    """A node with a real ingress and a real sidecar, beside one target."""
+    """A node with a real ingress, a real sidecar and one target."""
 
     def __init__(
         self, crowd: "Crowd", vm: str, hall: str, target: CrowdTarget, fleet: Fleet
@@ -129,18 +130,18 @@
             )
 
     def configure(self, fleet: Fleet) -> None:
-        """Put a fleet in force, in which the own target may have started again."""
+        """Apply a fleet, in which the node's own target may have restarted."""
         self.sidecar.configure(fleet)
         self.local._exchange._client = CrowdClient(self._crowd, self.target, self)
         self.view.fleet = fleet
 
     @property
     def local(self) -> Any:
-        """What the sidecar holds of the target."""
+        """The sidecar's state of its target."""
         return self.sidecar.targets[self.target.name]
 
     def dispatch(self, kind: str, deadline: float, *, of_a_repeat: bool = False) -> Outcome:
-        """See one request to its outcome; `of_a_repeat` if a run that was one itself makes it."""
+        """Dispatch one request; `of_a_repeat` if a repeated request calls it."""
         one = self._crowd.load.kinds[kind]
         method = "GET" if one.repeatable else "POST"
         name = self._crowd.next_id()
@@ -165,22 +166,23 @@
         self.has_news = True
 
     def tick(self) -> None:
-        """Do what the node's tickers do."""
+        """Do the work of the node's periodic tasks."""
         with self._crowd.world.acting(self.process):
             self.pause._last_tick = self._crowd.world.now
             self.local.scan_running(self._crowd.world.now)
 
 
 class Crowd:
-    """One run of a load; use `run`.
+    """One simulation of a load; use `run`.
 
     Attributes:
-        told: What became of the callers' requests, in the order of their ends.
-        arrivals: When each request reached a target, by service and id.
-        of_repeats: Requests that runs made which were repeats themselves.
-        reached: When a request with a path and body was sent to a target, in whatever coming.
-        names: Kinds by the path and body of their requests.
-        crashed: When a target ended under one, by path and body.
+        told: Results of the callers' requests, in order of completion.
+        arrivals: Times at which each request reached a target, by service and id.
+        of_repeats: Ids of requests that targets sent while they ran a repeated request.
+        reached: Times at which requests with a path and body were sent to a target, whatever
+            their ids.
+        names: Names of the kinds of requests, by path and body.
+        crashed: Times at which a target crashed while running a request, by path and body.
     """
 
     def __init__(self, load: Load, seed: int) -> None:
@@ -200,7 +202,7 @@
 
     @classmethod
     def run(cls, load: Load, seed: int) -> "Crowd":
-        """Play a load to its end."""
+        """Simulate a load to its end."""
         crowd = cls(load, seed)
         places = {module: names for module, names in PLACES.items() if "socket" not in names}
         swap = Swap(places, stand_ins(crowd.world))
@@ -215,12 +217,12 @@
     def share(
         self, result: str, kinds: Iterable[str] = (), *, between: tuple[float, float] = (0.0, 1e9)
     ) -> float:
-        """Return the share of the callers' requests that ended in a result.
+        """Return the share of the callers' requests that had a result.
 
         Args:
-            result: See `Told`.
-            kinds: Of which kinds, none for all.
-            between: Of those sent in this time, seconds from the first caller on.
+            result: A value of `Told.result`.
+            kinds: Kinds of requests to count; all by default.
+            between: Only requests sent in this interval, in seconds since the first request.
         """
         chosen = set(kinds) or set(self.load.kinds)
         begin, end = between
@@ -228,11 +230,11 @@
         return sum(one.result == result for one in asked) / len(asked)
 
     def repeats_over(self, service: str, ratio: float, slack: float, window_s: float) -> float:
-        """Return by how many the repeats of a service exceed what is allowed, at the most.
+        """Return the largest excess of a service's repeats over its budget in any window.
 
-        Repeats are arrivals beyond the first of a request, and all of those that a run made which
-        was a repeat itself. Allowed in a window are a share of the requests that came in it, or in
-        the window before it, and a slack.
+        Repeats are all arrivals of a request but the first, and all arrivals of requests that a
+        repeated request called. The budget of a window is a share of the requests that arrived in
+        it or in the window before, plus a slack. A negative result means that it was never used up.
         """
         repeats, firsts = [], []
         for (to, name), times in self.arrivals.items():
@@ -250,16 +252,16 @@
         return over
 
     def sleep(self, seconds: float) -> None:
-        """Let the task that runs wait."""
+        """Let the current task wait."""
         self.world.park(lambda: False, seconds)
 
     def next_id(self) -> str:
-        """Return an id for a request."""
+        """Return a new request id."""
         self._number += 1
         return f"request-{self._number}"
 
     def draw_work_s(self, kind: Kind) -> float:
-        """Draw how long a target works on a request."""
+        """Draw the service time of a request."""
         mean = math.log(kind.work_ms / 1000.0) - kind.spread**2 / 2.0
         return self.rng.lognormvariate(mean, kind.spread)
 
@@ -268,7 +270,7 @@
         return self.load.kinds[self.names[path, body]]
 
     def trouble_of(self, target: CrowdTarget) -> str:
-        """Draw what a target does to a request that reaches it now, empty for its work."""
+        """Draw the fault for a request that reaches a target now, empty if it runs normally."""
         now = self.world.now - FIRST_S
         for one in self.load.troubles:
             hit = target.name in one.targets or (not one.targets and one.service == target.service)
@@ -277,7 +279,7 @@
         return ""
 
     def restart(self, target: CrowdTarget) -> None:
-        """Start an ended target again, under a new name that all nodes hear of."""
+        """Restart a crashed target under a new name, and configure it on all nodes."""
         target.start()
         starts = {vm: node.target.starts for vm, node in self.nodes.items()}
         fleet = _fleet(self.load, starts)
@@ -321,12 +323,12 @@
             self._gossip(node)
 
     def hears(self, node: CrowdNode, peer: CrowdNode) -> bool:
-        """Tell whether two nodes reach each other now."""
+        """Return whether two nodes can reach each other now."""
         begin, end = self.load.apart
         return node.hall == peer.hall or not begin <= self.world.now - FIRST_S < end
 
     def _forget(self) -> None:
-        """Let the nodes whose turn has come begin with nothing known of crashes."""
+        """Clear the crash records of the nodes that are due for it now."""
         begin, end = self.load.forgets
         nodes = list(self.nodes.values())
         for number, node in enumerate(nodes):
@@ -336,7 +338,7 @@
                 node.sidecar.quarantine._answers.clear()
 
     def _gossip(self, node: CrowdNode) -> None:
-        """Let a node tell a few others what it knows of crashes, as datagrams do."""
+        """Send a node's crash records to a few other nodes, as gossip does."""
         if not node.has_news and self.gossip_rng.random() > TICK_S:
             return
         node.has_news = False
@@ -375,11 +377,11 @@
 
 
 def _fleet(load: Load, starts: dict[str, int]) -> Fleet:
-    """Return the fleet of a load, built as from a store.
+    """Return the fleet of a load, built as from the store.
 
     Args:
-        load: With its routes and services.
-        starts: How often the target of a VM has started again.
+        load: The load; its kinds and targets give the routes and services.
+        starts: Number of restarts of the target on each VM.
     """
     routes = tuple(
         Route(
--- a/tests/crowd_target.py
+++ b/tests/crowd_target.py
@@ -1,4 +1,4 @@
-"""A target of a crowd: slots, a queue, trouble by a schedule, and requests that end it."""
+"""A simulated target: slots, a queue, scheduled faults, and requests that crash it."""
 
 from collections import deque
 from collections.abc import Callable
@@ -12,18 +12,18 @@
     from tests.crowd import Crowd, CrowdNode
 
 RESET_S = 0.002
-"""Seconds after which a target resets what it loses."""
+"""Seconds after which a target resets the connection of a request that it loses."""
 FAIL_S = 0.001
-"""Seconds after which a target answers that it has failed: at once, so it always seems idle."""
+"""Seconds until a failed response: so short that a failing target always seems idle."""
 DOWN_S = 2.5
-"""Seconds until a target that has ended is back: 1.3 to 3 s on the users' platform."""
+"""Seconds until a crashed target has restarted: 1.3 to 3 s on the users' platform."""
 
 
 class CrowdTarget:
-    """A target with slots, a queue before them and trouble.
+    """A target with slots, a queue and faults.
 
     Attributes:
-        starts: How often it has started again.
+        starts: Number of restarts.
     """
 
     def __init__(self, name: str, service: str, slots: int) -> None:
@@ -37,29 +37,29 @@
 
     @property
     def down(self) -> bool:
-        """Whether its process has ended."""
+        """Whether its process has crashed and not restarted."""
         return self._down_until is not None
 
     def may_run(self, ticket: object) -> bool:
-        """Tell whether a request of the queue has its turn."""
+        """Return whether a queued request may run: it is first, and a slot is free."""
         return self.running < self.slots and self.queue[0] is ticket
 
     def crash(self, now: float) -> None:
-        """End, with all that it has."""
+        """Crash, and lose all requests in flight and queued."""
         self._down_until = now + DOWN_S
 
     def is_due(self, now: float) -> bool:
-        """Tell whether it starts again now."""
+        """Return whether a crashed target is due to restart."""
         return self._down_until is not None and self._down_until <= now
 
     def start(self) -> None:
-        """Start again."""
+        """Restart."""
         self._down_until = None
         self.starts += 1
 
 
 class CrowdClient(TargetClient):
-    """What a sidecar speaks to one start of a target of the crowd through."""
+    """The sidecar's client of one incarnation of a simulated target."""
 
     def __init__(self, crowd: "Crowd", target: CrowdTarget, node: "CrowdNode") -> None:
         self._crowd = crowd
@@ -106,7 +106,7 @@
         return False
 
     def _work(self, path: str, body: bytes, until: float, *, again: bool) -> int | None:
-        """Take a slot, work and call; return the status, `None` if that takes too long."""
+        """Take a slot, work and make the nested call; return the status, `None` on a timeout."""
         crowd, target = self._crowd, self._target
         kind = crowd.kind_of(path, body)
         ticket = object()
@@ -130,6 +130,6 @@
             target.running -= 1
 
     def _wait(self, ready: Callable[[], bool], until: float) -> bool:
-        """Wait until something is so, or the target ends; return whether either is."""
+        """Wait until `ready` returns true or the target is gone; return whether either holds."""
         left_s = until - self._crowd.world.now
         return self._crowd.world.park(lambda: ready() or self.gone(), left_s)
--- a/tests/gray_target.py
+++ b/tests/gray_target.py
@@ -1,4 +1,4 @@
-"""Targets that fail gray, their callers, and a ledger of what ran and what was told."""
+"""Targets with gray failures, their callers, and a ledger of runs and reported outcomes."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -19,11 +19,11 @@
 from tests.virtual import Process, World
 
 MAX_ATTEMPTS = 2
-"""Targets that one repeatable request may be sent to."""
+"""Limit of targets to which one repeatable request is sent."""
 
 
 class Mood(StrEnum):
-    """What a target does with a request that reaches it."""
+    """What a target does with the requests that it receives."""
 
     RUN = "run"
     FAIL = "fail"
@@ -40,10 +40,11 @@
     """One request of a caller.
 
     Attributes:
-        work: What must run once, shared by the declared repeats of a key.
-        arrived: Targets that it was sent to, in order.
+        work: Id of the work that must run at most once; declared repeats of a key share it.
+        at: Virtual time at which it was sent.
+        arrived: Targets that received it, in order.
         runs: How often it ran.
-        told: What the caller was told, `None` until then.
+        told: Outcome that the caller received, `None` until then.
         ran_attempts: How often each of its attempts ran.
     """
 
@@ -60,19 +61,19 @@
 
 
 class Ledger:
-    """What was sent, what ran and what was told: the truth that promises are held against."""
+    """Records what was sent, what ran and what callers were told; checks the guarantees."""
 
     def __init__(self) -> None:
         self.sent: dict[str, Sent] = {}
 
     def run(self, request_id: str, attempt_id: str) -> None:
-        """Note that a target ran an attempt."""
+        """Record that a target ran an attempt."""
         one = self.sent[request_id]
         one.runs += 1
         one.ran_attempts[attempt_id] += 1
 
     def check(self) -> None:
-        """Hold every promise against what happened so far."""
+        """Assert that every guarantee has held so far."""
         runs: Counter[str] = Counter()
         for one in self.sent.values():
             runs[one.work] += one.runs
@@ -83,7 +84,7 @@
             assert all(count == 1 for count in one.ran_attempts.values()), one.ran_attempts
             match one.told:
                 case NotRun(reason=reason):
-                    assert one.runs == 0, f"{one.id} was told not run ({reason}), but it ran"
+                    assert one.runs == 0, f"{one.id} was reported as not run ({reason}), but it ran"
                 case Answered(body=body):
                     assert body == one.id.encode(), f"{one.id} got the answer of {body!r}"
                     assert one.runs > 0, f"{one.id} was answered without a run"
@@ -92,7 +93,7 @@
 
 
 class Watch:
-    """A caller's connection; implements `CallerWatch`."""
+    """Watches a caller's connection; implements `CallerWatch`."""
 
     watchable = True
 
@@ -110,7 +111,7 @@
 
 @dataclass
 class Arrival:
-    """A request that a target holds; it may run it, whoever still waits for that."""
+    """An attempt that a target has received; it may run even if nobody waits for it any more."""
 
     request_id: str
     attempt_id: str
@@ -119,7 +120,7 @@
 
 
 class ModelTarget:
-    """A target: it is a process of its own, so what it holds outlives the node beside it."""
+    """A target: its own process, so the requests that it holds outlive the node on its VM."""
 
     def __init__(self, name: str, ledger: Ledger) -> None:
         self.name = name
@@ -128,7 +129,7 @@
         self._ledger = ledger
 
     def take(self, arrival: Arrival) -> None:
-        """Get a request and act by the mood."""
+        """Receive a request and treat it according to the mood."""
         if self.mood is not Mood.SHED:
             self._ledger.sent[arrival.request_id].arrived.append(self.name)
         if self.mood is Mood.HANG:
@@ -137,14 +138,14 @@
             self.end(arrival, self.mood)
 
     def end(self, arrival: Arrival, how: Mood) -> None:
-        """Run a request or lose it."""
+        """End a request: run it or lose it."""
         arrival.ended = how
         if how in (Mood.RUN, Mood.FAIL, Mood.GARBLE, Mood.LOSE_AFTER):
             self._ledger.run(arrival.request_id, arrival.attempt_id)
 
 
 class ModelClient(TargetClient):
-    """What a sidecar speaks to a target through."""
+    """The sidecar's client of a model target."""
 
     def __init__(self, world: World, target: ModelTarget) -> None:
         self._world = world
@@ -164,7 +165,7 @@
         watch: CallerWatch | None = None,
     ) -> TargetAnswer:
         if self._target.mood is Mood.REFUSE:
-            raise TargetRefusedError("The target refuses.")
+            raise TargetRefusedError("The target refuses connections.")
         arrival = Arrival(request_id, attempt_id)
         self._running[attempt_id] = arrival
         self._target.take(arrival)
@@ -200,9 +201,9 @@
         case Mood.SHED:
             return TargetAnswer(Answered(503, [], b"", 1.0), True, "", None)
         case Mood.GARBLE:
-            raise TargetGarbledError("That is no answer.")
+            raise TargetGarbledError("The response is malformed.")
         case None if over:
-            raise CallerLeftError("The caller left or cancelled.")
+            raise CallerLeftError("The caller left or the attempt was cancelled.")
         case None:
             raise TargetTimeoutError("No answer in time.")
         case _:
--- a/tests/load.py
+++ b/tests/load.py
@@ -1,4 +1,4 @@
-"""What a load is made of, and what became of its requests: types for `tests.crowd`."""
+"""Types for `tests.crowd`: loads and the results of their requests."""
 
 from typing import NamedTuple
 
@@ -9,21 +9,22 @@
     """A kind of request.
 
     Args:
-        service: To which it goes.
-        work_ms: Mean time that a target works on it.
-        objective_ms: Time within which its caller wants the answer.
-        timeout_ms: Time of its route.
+        service: Service that it calls.
+        work_ms: Mean service time at a target.
+        objective_ms: Latency objective of its route.
+        timeout_ms: Timeout of its route.
         repeatable: Whether it may run more than once.
-        per_s: Requests a second of all callers; 0 for what only targets call.
-        call: Kind that its target calls while it works on it, empty for none.
+        per_s: Requests per second of all callers; 0 if only targets call it.
+        call: Kind that the target calls while it runs this one, empty for none.
         call_share: Share of its requests that make the call.
-        spread: Of the work, as the deviation of its logarithm.
-        crashes: Whether each target that works on one ends with it, and all else that it has.
-        fails: Whether every target answers one with a failure, at once.
-        path: Of all its requests behind the route's, empty if each has its own.
-        body: Of its requests.
-        route: Kind on whose route it goes, empty for its own.
-        beside: Kind with each request of which one of its own is sent, to the same node.
+        spread: Standard deviation of the logarithm of the service time.
+        crashes: Whether it crashes each target that runs it, which loses all its requests.
+        fails: Whether every target fails it at once.
+        path: Path below that of the route, for all its requests; empty if each has its own.
+        body: Body of its requests.
+        route: Kind that owns the route it uses, empty for its own.
+        beside: Kind that triggers it: with each request of that kind, one of this kind is sent
+            to the same node.
     """
 
     service: str
@@ -44,14 +45,15 @@
 
 
 class Trouble(NamedTuple):
-    """What a target does instead of its work.
+    """A fault that targets show for a time.
 
     Args:
-        begin: Seconds from the first caller on.
-        end: The same.
-        share: Of what it is given in that time.
-        how: `reset`, `shed`, `fail` (it answers 500 at once) or `hang`.
-        targets: By name; none for all of `service`.
+        begin: Begin, in seconds since the first request.
+        end: End, in seconds since the first request.
+        share: Share of the requests received in that time that are affected.
+        how: `reset`, `shed`, `fail` (responds with 500 at once) or `hang`.
+        service: Service whose targets are all affected, if `targets` is empty.
+        targets: Names of the affected targets.
     """
 
     begin: float
@@ -63,18 +65,19 @@
 
 
 class Load(NamedTuple):
-    """A load: who calls what, on which targets, in which trouble.
+    """A load: requests, targets and faults.
 
     Args:
-        kinds: By name.
-        targets: Number of them by service; a node is beside each.
-        slots: Of each target.
-        seconds: For which callers come.
-        troubles: Of the targets.
-        slack: Repeats of a service in ten seconds, beyond a fifth of its requests.
+        kinds: Kinds of requests by name.
+        targets: Number of targets by service; each has a node on its VM.
+        slots: Slots of each target.
+        seconds: Seconds during which requests arrive.
+        troubles: Faults of the targets.
+        slack: Repeats allowed per service in ten seconds, beyond a fifth of its requests.
         halls: Data halls over which the targets are spread.
-        apart: Seconds between which data halls neither reach nor hear each other.
-        forgets: Seconds between which each node starts anew once, in turn, knowing nothing.
+        apart: Begin and end, in seconds, of a partition between all data halls.
+        forgets: Begin and end, in seconds, of the time in which the nodes lose their crash records,
+            one after the other, as on a restart.
     """
 
     kinds: dict[str, Kind]
@@ -89,7 +92,7 @@
 
 
 class Told(NamedTuple):
-    """What became of one request of a caller."""
+    """The result of one request of a caller."""
 
     kind: str
     at: float
--- a/tests/loads.py
+++ b/tests/loads.py
@@ -1,8 +1,8 @@
-"""Loads that have names: the pattern of each, and the grounds for its figures.
+"""Named loads, each with its pattern and the reasons for its figures.
 
-Services, kinds of request and their times are those of the users' library deployments at a size of
-22 VMs: a public catalogue whose searches call the desk's service for headings, and holds that must
-not run twice. Requests a second are those of their crowded days.
+Services, kinds of requests and their times are those of the users' library deployments, scaled to
+22 VMs: a public catalogue whose searches call the desk service for headings, and holds that must
+not run twice. Request rates are those of their days of highest load.
 """
 
 import random
@@ -27,18 +27,21 @@
 }
 TARGETS = {"opac": 16, "desk": 6}
 LOST_SHARE = 0.85
-"""Share of its requests that a target loses in a bad spell, by the users' site files."""
+"""Share of its requests that a target loses in an outage, by the users' site files."""
 SLACK = 25.0
-"""Repeats of a service in ten seconds beyond a fifth of its requests: 430 for 235 VMs."""
+"""Repeats allowed per service in ten seconds beyond a fifth of its requests.
+
+Scaled from 430 for 235 VMs.
+"""
 
 
 def losses_in_moments(seed: int) -> Load:
-    """Half the targets of a small service lose what they get, all at once, again and again.
+    """Half the targets of a small service lose most of their requests, in repeated short outages.
 
-    On the users' crowded day of 21 VMs targets of the desk's service were replaced, cut off and
-    reset within six seconds. Of 37 repeatable requests lost there 34 ended at their first target:
-    their ingress had no repeat left, though the service was allowed some 70 in ten seconds and got
-    19. Here three of six fall into a spell every 3 s for 1.5 s.
+    On the users' day of high load on 21 VMs, targets of the desk service were replaced, cut off and
+    reset within six seconds. Of the 37 repeatable requests lost there, 34 were not retried after
+    their first target: their ingress had no repeats left, although the service was allowed some 70
+    in ten seconds and used 19. Here three of six targets have an outage of 1.5 s every 3 s.
     """
     rng = random.Random(seed)
     spells = [
@@ -50,11 +53,11 @@
 
 
 def shed_by_all(seed: int) -> Load:
-    """Every target of a service sheds 55 of 100 requests, whatever it has to do, for 8 s.
+    """Every target of a service sheds 55% of its requests for 8 s, whatever its load.
 
-    The users' crowded day names this trouble. A shed request has not run; it may be sent to one
-    more target. Perfect knowledge would not help: all targets are alike. Of 100 requests 45 are
-    served at their first target, and of the others as many as there are repeats, 45 of 100 again.
+    The users' day of high load has this fault. A shed request has not run and may be sent to one
+    more target. Perfect knowledge would not help, as all targets are alike: 45% of the requests are
+    served by their first target, and 45% of those for which there is a repeat by their second.
     """
     del seed
     shed = Trouble(4.0, 12.0, 0.55, "shed", service="opac")
@@ -64,10 +67,10 @@
 
 
 def shed_by_some(seed: int) -> Load:
-    """Five of sixteen targets shed nearly all that they get, as full ones do, for 8 s.
+    """Five of sixteen targets shed 95% of their requests for 8 s, as full targets do.
 
-    So it was after a loss of power, when targets still worked for callers that were gone. Whoever
-    knew which they are would serve all: the others have slots for it.
+    This was seen after a loss of power, when targets still worked for callers that had left. With
+    perfect knowledge all requests would be served: the other targets have enough slots.
     """
     del seed
     full = frozenset(f"opac-{number}" for number in (0, 3, 6, 9, 12))
@@ -76,11 +79,12 @@
 
 
 def called_sheds(seed: int, *, per_s: float = 16.5, call_share: float = 0.7) -> Load:
-    """The called service sheds while its callers' targets lose what they get: both are repeated.
+    """The called service sheds while the calling service's targets reset: both are retried.
 
-    On the registry's fleet, with its called service shedding 60 of 100 and two of five callers'
-    targets resetting, 31 of 196 repeats of that service in ten seconds were first arrivals of calls
-    that repeated runs made. Searches call as often as on the users' page, or as `call_share` says.
+    On the registry's fleet, with the called service shedding 60% and two of five targets of the
+    calling service resetting, 31 of 196 repeats of the called service in ten seconds were first
+    arrivals of calls made by repeated requests. By default the share of searches that make a call
+    is that of the users' page.
     """
     rng = random.Random(seed)
     lossy = frozenset(f"opac-{number}" for number in rng.sample(range(TARGETS["opac"]), 6))
@@ -93,12 +97,12 @@
 
 
 def failing_at_once(seed: int, *, usual: float = 0.012, share: float = 0.3) -> Load:
-    """Three of ten targets answer most that they get with a failure, at once, for seconds.
+    """Three of ten targets fail most of their requests at once, for seconds at a time.
 
-    So it is on the users' library deployment some months on: spells come about every nine seconds
-    and fail 85 of 100, sound targets fail 1.2 of 100, and health checks stay good. A target that
-    fails within a millisecond always seems the least loaded. Who knew the spells would lose none:
-    the others have slots for all that comes.
+    On the users' library deployment, outages come about every nine seconds and fail 85% of the
+    requests, healthy targets fail 1.2%, and health checks keep passing. A target that fails within
+    a millisecond always seems the least loaded. With perfect knowledge no request would be lost to
+    the outages: the other targets have enough slots.
     """
     rng = random.Random(seed)
     names = [f"{service}-{n}" for service, count in TARGETS.items() for n in range(count)]
@@ -114,9 +118,9 @@
 
 
 def failing_kind(seed: int) -> Load:
-    """One route's requests fail at every target, whatever its state: a twentieth of the work.
+    """The requests of one route, a twentieth of the work, fail at every target.
 
-    Nothing is wrong with any target, so who knew that would serve all the others.
+    The targets are healthy, so with perfect knowledge all other requests would be served.
     """
     del seed
     poison = Kind("opac", 360.0, 1200, 3000, False, 2.0, fails=True)
@@ -124,10 +128,11 @@
 
 
 def crashing(seed: int, **others: Kind) -> Load:
-    """One request ends each target that works on it, and comes again and again, at any VM.
+    """One request crashes each target that runs it, and is sent again and again, to any VM.
 
-    Services and kinds are those of the users' simulation platform: three slots and eight targets of
-    the service that ends. There 20 ended in 16 s; a target was back 1.3 to 3 s later.
+    Services and kinds are those of the users' simulation platform, where the crashing service has
+    eight targets with three slots each. There 20 targets crashed in 16 s, and each restarted within
+    1.3 to 3 s.
     """
     del seed
     kinds = {**LAB_KINDS, "crashing": CRASHING, **others}
--- a/tests/machine_model.py
+++ b/tests/machine_model.py
@@ -1,4 +1,4 @@
-"""Nodes of real code in the virtual world, beside targets that fail gray."""
+"""Nodes that run the real code in the virtual world, with targets that have gray failures."""
 
 import functools
 import json
@@ -45,21 +45,24 @@
 VMS = ("vm-1", "vm-2", "vm-3")
 TARGETS = {"t1": "vm-1", "t2": "vm-2", "t3": "vm-2", "t4": "vm-3"}
 RETRY_RATIO = 2.0
-"""Repeats a request; so many that the budget never hides a retry that should not be."""
+"""Repeats allowed per request: so many that the budget never prevents a wrong retry."""
 PORT = 7000
 KEYS = (b"k" * 16,)
 OFFSET_S = 1000.0
-"""By so much the clocks of two VMs differ."""
+"""Clock difference between one VM and the next, in seconds."""
 AGED_S = 200.0
-"""Age of the fleet at the start: sidecars vouch for keys once they are older than 180 s."""
+"""Age of the fleet at the start: sidecars vouch for keys only once they are 180 s old."""
 WINDOW_S = 170.0
-"""A key is promised for repeats that an ingress takes up within this time: sidecars remember it for
-180 s. What an ingress that stood still takes up later counts as work of its own."""
+"""Seconds within which a repeat with a key must reach dispatch to be covered by the guarantee.
+
+Sidecars remember a key for 180 s. A repeat that an ingress dispatches later, after a pause of its
+process, counts as new work.
+"""
 
 
 @functools.cache
 def fleet() -> Fleet:
-    """Return the fleet: one service whose targets live on three VMs."""
+    """Return the fleet: one service with four targets on three VMs."""
     value = {
         "services": {"s": {"floor_slots": 1, "queue_limit": 2}},
         "targets": {
@@ -79,7 +82,7 @@
 
 
 class _OneTurn(threading.Event):
-    """Lets the loop of the pause watch run once."""
+    """Stop event that lets the loop of the pause watch run once."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -91,7 +94,7 @@
 
 
 class Node:
-    """One process with a real ingress and a real sidecar, as `roadpass.node` joins them."""
+    """One process with a real ingress and a real sidecar, connected as in `roadpass.node`."""
 
     def __init__(self, world: World, vm: str, incarnation: int, targets: list[ModelTarget]) -> None:
         self.vm = vm
@@ -131,7 +134,7 @@
         )
 
     def tick(self) -> None:
-        """Do what the node's tickers do: watch for pauses, and drop old fences."""
+        """Do the work of the node's periodic tasks: detect pauses, and drop expired fences."""
         if self.process.frozen:
             return
         with self._world.acting(self.process):
@@ -143,11 +146,11 @@
             self.sidecar.expire()
 
     def freeze(self) -> None:
-        """Stop the process; its kernel goes on taking in bytes and connections."""
+        """Freeze the process; its kernel still accepts bytes and connections."""
         self.process.frozen = self.stood_still = True
 
     def wake(self, ticker_first: bool) -> None:
-        """Let the process go on, its tickers before or after its other threads."""
+        """Resume the process; its periodic tasks run before or after its other threads."""
         self.process.frozen = False
         if ticker_first:
             self.tick()
@@ -165,7 +168,7 @@
 
 
 class Model:
-    """The fleet, its callers and what can go wrong; each step ends once nothing moves."""
+    """The fleet, its callers and the faults; each step runs until the world is idle."""
 
     def __init__(self) -> None:
         self.world = World()
@@ -177,7 +180,7 @@
         self.advance(AGED_S)
 
     def send(self, vm: int, method: str, key: str, first: Sent | None, hold: Hold) -> Sent:
-        """Have a caller send a request, as a declared repeat of `first` if that is given."""
+        """Send a caller's request, as a declared repeat of `first` if that is given."""
         node = self.nodes[vm]
         name = f"request-{len(self.ledger.sent)}"
         work = first.work if first is not None else name
@@ -199,17 +202,17 @@
         return one
 
     def advance(self, seconds: float) -> None:
-        """Let time pass for all."""
+        """Advance the virtual time."""
         self.world.advance(seconds, self._tick)
 
     def restart(self, vm: int) -> None:
-        """Kill a node's process and start another one; its fences are lost."""
+        """Kill a node's process and start a new one, without its fences."""
         old = self.nodes[vm]
         self.world.kill(old.process)
         self.nodes[vm] = Node(self.world, old.vm, old.incarnation + 1, self.targets)
 
     def stand_still(self, vm: int, seconds: float, ticker_first: bool) -> None:
-        """Freeze a node for a time, in which all that is under way to it arrives."""
+        """Freeze a node for a time, and deliver all that is in flight to it meanwhile."""
         node = self.nodes[vm]
         node.freeze()
         for pipe in self.world.pipes():
@@ -220,14 +223,14 @@
         node.wake(ticker_first)
 
     def reset(self, connection: Connection, up: int | None, down: int | None) -> None:
-        """Break a connection off for its server, client or both, behind so many bytes."""
+        """Reset a connection for its server (`up`) or client (`down`), after so many bytes each."""
         if up is not None:
             connection.up.break_off(up)
         if down is not None:
             connection.down.break_off(down)
 
     def mend(self) -> None:
-        """Undo delays, cuts and freezes."""
+        """Undo all delays, cuts and freezes."""
         self.world.cut.clear()
         for pipe in self.world.pipes():
             pipe.held = False
@@ -235,35 +238,35 @@
             node.wake(ticker_first=True)
 
     def delayed(self) -> list[Pipe]:
-        """Return the directions of connections in which something is delayed, the oldest first."""
+        """Return the pipes in which data is delayed, oldest connection first."""
         return [pipe for pipe in self.world.pipes() if pipe.held]
 
     def release(self) -> None:
-        """Let everything arrive that was delayed."""
+        """Deliver all delayed data."""
         for pipe in self.delayed():
             pipe.held = False
         self.world.settle()
 
     def reached(self) -> list[str]:
-        """Return the VMs that the newest request reached, in order."""
+        """Return the VMs whose targets the newest request reached, in order."""
         newest = next(reversed(self.ledger.sent.values()), None)
         return [TARGETS[name] for name in newest.arrived] if newest is not None else []
 
     def end_all(self) -> None:
-        """Let every target run what it holds, and whatever comes."""
+        """Make every target run the requests that it holds and all later ones."""
         for target in self.targets:
             target.mood = Mood.RUN
             while target.held:
                 target.end(target.held.pop(), Mood.RUN)
 
     def unanswered(self) -> list[Sent]:
-        """Return requests without an outcome whose ingress lives."""
+        """Return the requests without an outcome whose ingress process is alive."""
         return [
             one for one in self.ledger.sent.values() if one.told is None and not one.process.dead
         ]
 
     def close(self) -> None:
-        """End all processes and give the modules their clocks back."""
+        """Kill all processes and restore the modules."""
         try:
             for node in self.nodes:
                 self.world.kill(node.process)
--- a/tests/quota_model.py
+++ b/tests/quota_model.py
@@ -1,7 +1,7 @@
-"""A model of a fleet that keeps one customer's limit: real gates and ledgers, modelled datagrams.
+"""Simulates a fleet that enforces one customer's limit: real gates and ledgers, modelled datagrams.
 
-Time is virtual. Datagrams take a while, and are lost or cut by a schedule. Requests come to nodes
-by weights. What came, and what was admitted, is compared with a bucket that knows everything.
+Time is virtual. Datagrams are delayed, lost at random or dropped by scheduled partitions. Requests
+arrive at nodes by weight. Admissions are compared with those of one bucket that sees all requests.
 """
 
 import bisect
@@ -17,26 +17,27 @@
 from roadpass.quota_ledger import QuotaLedger
 
 TICK_S = 0.1
-"""Seconds between a node's looks at what to report."""
+"""Seconds between a node's checks for reports to send."""
 WAY_S = 0.01
-"""Seconds that a datagram takes at the most, with the wait of its reader."""
+"""Maximum delay of a datagram in seconds, with the time until it is read."""
 DEAD_S = 4.0
-"""Seconds until a node that cannot be reached is taken for dead."""
+"""Seconds until an unreachable node is considered dead."""
 CUSTOMER = "library"
 
 
 class Play(NamedTuple):
-    """What happens to a fleet.
+    """The load and the faults of one simulation.
 
     Args:
-        limit: Of the customer.
-        per_s: Requests a second at a moment.
-        nodes: How many there are.
-        weights: Of the nodes, by which requests come to them; all alike without any.
+        limit: Limit of the customer.
+        per_s: Requests per second at a given time.
+        nodes: Number of nodes.
+        weights: Weights by which requests are spread over the nodes; equal if empty.
         lost: Share of the datagrams that are lost.
-        apart: Which group a node is in at a moment; those of different groups are cut.
-        restarts: When which node starts anew.
-        seconds: How long it lasts.
+        apart: Partition of a node at a given time; nodes of different partitions are cut off from
+            each other.
+        restarts: Times and numbers of nodes that restart.
+        seconds: Length of the simulation.
     """
 
     limit: Limit
@@ -50,19 +51,19 @@
 
     @property
     def kept(self) -> Limit:
-        """The limit from which on the customer is refused."""
+        """The limit that the gates enforce, with its tolerance."""
         return Terms(5.0, 0.25, 20.0).limit(self.limit.rate_per_s, self.limit.burst)
 
 
 class Request(NamedTuple):
-    """A request that came, and whether it was admitted."""
+    """The arrival of a request, and whether it was admitted."""
 
     at: float
     admitted: bool
 
 
 class Fleet:
-    """One play; `run` returns the requests in their order."""
+    """One simulation; use `run`."""
 
     def __init__(self, play: Play, seed: int) -> None:
         self.play = play
@@ -78,7 +79,7 @@
 
     @classmethod
     def run(cls, play: Play, seed: int = 1) -> "Fleet":
-        """Play to the end."""
+        """Simulate to the end."""
         fleet = cls(play, seed)
         for node in range(play.nodes):
             fleet._at(fleet._rng.uniform(0.0, TICK_S), partial(fleet._tick, node))
@@ -94,11 +95,11 @@
 
     @property
     def requests(self) -> list[Request]:
-        """What came, in order."""
+        """All requests in order of arrival."""
         return self._requests
 
     def overrun(self, window_s: float, over: float, slack: float) -> float:
-        """Return by how many requests the worst window exceeds what is allowed in it."""
+        """Return the largest excess of admitted requests over the bound, in any window."""
         rate, burst, *_ = self.play.limit
         bound = (rate * window_s + burst) * (1.0 + over) + slack
         times = [one.at for one in self._requests if one.admitted]
@@ -107,7 +108,7 @@
         return worst - bound
 
     def wrongly_refused(self) -> float:
-        """Return the share of what a bucket with perfect knowledge admits that was not admitted."""
+        """Return the share of the requests admissible with perfect knowledge that were refused."""
         rate, level, *_ = self.play.limit
         last, owed, admitted = 0.0, 0, 0
         for one in self._requests:
@@ -161,7 +162,7 @@
         return self.play.apart(node, now) != self.play.apart(other, now)
 
     def _living(self, now: float, node: int) -> list[str]:
-        """Return the nodes that one believes to live: it learns of a cut some seconds late."""
+        """Return the nodes that `node` believes alive: it detects a cut only after `DEAD_S`."""
         return [
             name
             for other, name in enumerate(self._names)
--- a/tests/virtual.py
+++ b/tests/virtual.py
@@ -1,11 +1,11 @@
-"""A world without real time, sockets or parallel threads, in which the real code runs.
+"""Deterministic simulation: virtual time, sockets and scheduling for the real code.
 
-Code that waits runs as a task. Exactly one task runs at any moment, and it runs until it waits, so
-a run is a function of what its driver asks for: who runs next, what arrives, and when time passes.
-Tasks are backed by threads that hand over one baton, as the code under test blocks.
+Blocking code runs as a task. Exactly one task runs at any time, until it waits, so a run depends
+only on what its driver decides: which task runs next, what is delivered, and when time passes.
+Tasks are threads that run in turn, controlled by semaphores, because the code under test blocks.
 
-A connection is a pair of byte pipes. As over TCP, the bytes of one arrive in order and once, or are
-delayed, or cut off at any byte; those of different connections overtake each other freely.
+A connection is a pair of byte pipes. As with TCP, the bytes of a connection arrive in order and
+once, or are delayed, or are cut off at any byte; there is no order between connections.
 """
 
 import itertools
@@ -21,21 +21,21 @@
 EPOCH_S = 1_700_000_000.0
 """Seconds of the wall clock at virtual time zero."""
 FIN = b""
-"""What stands on the wire for the end of a pipe."""
+"""Marks the end of a pipe on the wire."""
 MOST_TURNS = 20_000
-"""Turns of tasks, or deliveries, at one virtual moment; more are an endless loop."""
+"""Limit of task turns and deliveries at one virtual time; more mean an endless loop."""
 POLLIN = 1
 
 Hold: TypeAlias = tuple[bytes, ...]
-"""Parts of frames by which frames are chosen; the empty part chooses all."""
+"""Byte strings: frames that contain one of them are held back; the empty one matches all."""
 
 
 class Abandoned(BaseException):
-    """The task's process was killed: it is unwound, and nothing of it has an effect any more."""
+    """Unwinds a task whose process was killed; it has no further effect."""
 
 
 class Process:
-    """One process on a VM; its clock is off by `offset` seconds."""
+    """A process on a VM, with a clock offset in seconds."""
 
     def __init__(self, vm: str, offset: float = 0.0) -> None:
         self.vm = vm
@@ -45,7 +45,7 @@
 
 
 class Task:
-    """Code of a process that runs until it waits."""
+    """A thread of a process that runs until it waits."""
 
     def __init__(self, world: "World", process: Process, work: Callable[[], None]) -> None:
         self.process = process
@@ -61,20 +61,20 @@
 
     @property
     def due(self) -> bool:
-        """Whether what it waits for is there."""
+        """Whether it can run: its condition holds or its wait has timed out."""
         if self.process.frozen or self.process.dead:
             return False
         return self.ready() or (self.until is not None and self.until <= self._world.now)
 
     def turn(self) -> None:
-        """Let it run until it waits or ends."""
+        """Run the task until it waits or ends."""
         self._go.release()
         self._back.acquire()
         if self.done:
             self._thread.join()
 
     def wait(self) -> None:
-        """Hand the baton back; called by the task itself."""
+        """Return control to the scheduler; called by the task itself."""
         if self.process.dead:
             raise Abandoned
         self._back.release()
@@ -99,10 +99,10 @@
     """One direction of a connection.
 
     Attributes:
-        wire: Writes under way, in order.
-        arrived: Bytes that the receiver has not read yet.
-        held: Whether what is on the wire is delayed.
-        ended: Whether the receiver sees an end behind what arrived.
+        wire: Writes in flight, in order.
+        arrived: Delivered bytes that the receiver has not read yet.
+        held: Whether the writes in flight are delayed.
+        ended: Whether the receiver sees the end of the stream after the delivered bytes.
     """
 
     def __init__(self, source: str, sink: str) -> None:
@@ -114,7 +114,7 @@
         self.ended = False
 
     def deliver(self, size: int | None = None) -> None:
-        """Let the first write arrive, or only its first bytes."""
+        """Deliver the first write, or only its first `size` bytes."""
         item = self.wire.popleft()
         if item == FIN:
             self.ended = True
@@ -126,7 +126,7 @@
             self.arrived += item
 
     def break_off(self, size: int) -> None:
-        """Lose the wire but for its first bytes, and end."""
+        """Deliver the first `size` bytes in flight, drop the others, and end the pipe."""
         if not self.ended:
             self.arrived += b"".join(self.wire)[:size]
         self.wire.clear()
@@ -149,7 +149,7 @@
         return self._number
 
     def setsockopt(self, *_: int) -> None:
-        """Take an option, which changes nothing here."""
+        """Accept an option without effect."""
 
     def settimeout(self, limit_s: float) -> None:
         self._limit_s = limit_s
@@ -161,7 +161,7 @@
 
     def recv(self, size: int) -> bytes:
         if not self._world.park(self._is_readable, self._limit_s):
-            raise TimeoutError("Nothing came.")
+            raise TimeoutError("No data in time.")
         if self._closed:
             raise ConnectionResetError("The connection is closed.")
         data = bytes(self.inbound.arrived[:size])
@@ -181,7 +181,7 @@
 
 
 class Connection:
-    """Both ends and both directions of one connection."""
+    """A connection: two ends, and a pipe in each direction."""
 
     def __init__(self, world: "World", client: Process, server: Process) -> None:
         self.client, self.server = client, server
@@ -197,11 +197,13 @@
 
 
 class World:
-    """Time, tasks and connections.
+    """The virtual time, the tasks and the connections.
 
     Attributes:
-        cut: Directions between VMs in which nothing gets through, as (from, to).
-        errors: What ended tasks that should not have ended so.
+        readable: Checks of whether descriptors are readable, by number.
+        listeners: Processes that listen and their accept functions, by VM.
+        cut: Blocked directions between VMs, as (from, to).
+        errors: Unexpected exceptions that ended tasks.
     """
 
     def __init__(self) -> None:
@@ -218,14 +220,14 @@
 
     @property
     def process(self) -> Process:
-        """The process whose code runs."""
+        """The process whose code runs now."""
         found = self._task.process if self._task is not None else self._acting
         assert found is not None
         return found
 
     @contextmanager
     def acting(self, process: Process) -> Iterator[None]:
-        """Run code that does not wait as a process."""
+        """Run code that does not block as part of a process."""
         self._acting = process
         try:
             yield
@@ -237,7 +239,7 @@
         self.tasks.append(Task(self, process, work))
 
     def park(self, ready: Callable[[], bool], limit_s: float | None) -> bool:
-        """Wait until something is ready, for so long at most; return whether it is."""
+        """Block the task until `ready` holds or the time limit passes; return whether it holds."""
         if ready() or (limit_s is not None and limit_s <= 0.0):
             return ready()
         task = self._task
@@ -248,7 +250,7 @@
         return ready()
 
     def kill(self, process: Process) -> None:
-        """End a process at once; its connections end behind what it sent."""
+        """Kill a process at once; its connections end after the data already sent."""
         process.dead = True
         for connection in self.connections:
             if connection.client is process:
@@ -259,10 +261,10 @@
             self._turn(task)
 
     def settle(self, hold: Hold = ()) -> None:
-        """Run all tasks and deliver all writes until nothing moves.
+        """Run all tasks and deliver all writes until the world is idle.
 
         Args:
-            hold: A write that has any of these bytes is delayed, with all behind it.
+            hold: Writes that contain one of these are delayed, with all later ones of their pipe.
         """
         for _ in range(MOST_TURNS):
             due = next((task for task in self.tasks if task.due), None)
@@ -270,10 +272,10 @@
                 self._turn(due)
             elif not self._deliver(hold):
                 return
-        raise AssertionError("The world does not come to rest.")
+        raise AssertionError("The world does not become idle: probably an endless loop.")
 
     def advance(self, seconds: float, tick: Callable[[], None]) -> None:
-        """Let time pass, from one wait's end to the next; `tick` is called at each."""
+        """Advance time from one timeout to the next; `tick` is called at each."""
         end = self.now + seconds
         while self.now < end:
             waits = [task.until for task in self.tasks if task.until and not task.process.frozen]
@@ -282,7 +284,7 @@
             self.settle()
 
     def connect(self, address: tuple[str, int], timeout: float, **_: Any) -> VirtualSocket:
-        """Open a connection; a frozen process's kernel accepts it as well."""
+        """Open a connection; a frozen process accepts it too, as its kernel does."""
         vm, client = address[0], self.process
         path = {(client.vm, vm), (vm, client.vm)}
         if not self.park(lambda: not path & self.cut, timeout):
@@ -294,7 +296,7 @@
         return connection.client_end
 
     def pipes(self) -> list[Pipe]:
-        """Return the directions that have something under way."""
+        """Return the pipes with data in flight; forget connections that are over."""
         self.connections = [one for one in self.connections if not one.over]
         ways = [(one.up, one.down) for one in self.connections]
         return [pipe for way in ways for pipe in way if pipe.wire]
@@ -317,7 +319,7 @@
 
 
 class _Poll:
-    """Stands in for `select.poll`."""
+    """Replaces `select.poll`."""
 
     def __init__(self, world: World) -> None:
         self._world = world
@@ -335,10 +337,10 @@
 
 
 def stand_ins(world: World) -> dict[str, Any]:
-    """Return what takes the place of modules: clocks, `select`, `socket` and `threading`."""
+    """Return replacements of the modules `clock`, `time`, `select`, `socket` and `threading`."""
 
     class Event:
-        """Stands in for `threading.Event`."""
+        """Replaces `threading.Event`."""
 
         def __init__(self) -> None:
             self._set = False
@@ -370,11 +372,11 @@
 
 
 class Swap:
-    """Puts stand-ins in place of what modules have imported, and takes them back.
+    """Replaces names that modules have imported; `undo` restores them.
 
     Args:
-        places: Modules, each with the names in it that are swapped.
-        things: What to put there, by name.
+        places: Modules, each with the names to replace in it.
+        things: Replacements by name.
     """
 
     def __init__(self, places: dict[ModuleType, tuple[str, ...]], things: dict[str, Any]) -> None:
@@ -385,6 +387,6 @@
                 setattr(module, name, things[name])
 
     def undo(self) -> None:
-        """Put back what was there."""
+        """Restore the original values."""
         for module, name, kept in self._kept:
             setattr(module, name, kept)
