--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -1,4 +1,4 @@
-"""Days of our own: each can be read, is named as its file, and fits any of the users' sites."""
+"""The days in deploy/days: each is valid, named as its file, and fits all of the users' sites."""
 
 import re
 import tomllib
@@ -10,7 +10,7 @@
 DAYS = sorted((Path(__file__).parent.parent / "deploy" / "days").glob("*.toml"))
 PLACES = ("service", "class", "zone", "to_zone", "region")
 LENGTH_S = 30.0
-"""Seconds of traffic of the shortest days of the users."""
+"""Length of traffic of the users' shortest days, in seconds."""
 
 
 def read(path: Path) -> dict[str, Any]:
@@ -21,13 +21,13 @@
 
 
 def test_there_are_days() -> None:
-    """The folder is where the users' hunts look."""
+    """The folder is the one in which the users' tools look for days."""
     assert len(DAYS) >= 10
 
 
 @pytest.mark.parametrize("path", DAYS, ids=lambda path: path.stem)
 def test_a_day_can_be_read_and_names_no_deployment(path: Path) -> None:
-    """Every step has a kind and a time, and places only by their number."""
+    """Every step has a kind and a time, and refers to places only by number."""
     day = read(path)
     assert day["name"] == path.stem
     steps = [*day["plan"], *day["faults"]]
@@ -39,5 +39,5 @@
 
 @pytest.mark.parametrize("path", DAYS, ids=lambda path: path.stem)
 def test_a_day_is_told_of(path: Path) -> None:
-    """The page beside the days says what each is for."""
+    """The README of the folder lists the day."""
     assert f"| `{path.stem}` |" in (path.parent / "README.md").read_text()
--- a/tests/test_deadly.py
+++ b/tests/test_deadly.py
@@ -1,9 +1,9 @@
-"""A request that ends its targets, which is under way as a node or a target is drained.
+"""A request that crashes its targets, in flight while a node or a target is drained.
 
-What waits for a slot is sent back then, and goes elsewhere; in between more targets may end under
-the same request in other comings. Whoever knows enough of it by then must not let it through: the
-door where its turn comes, and the ingress to which it was sent back, since the next door may not
-have heard yet.
+A drain returns queued requests to their ingress, which redirects them. Meanwhile more targets may
+crash under other attempts at the same request. Once enough crashes are known, neither the sidecar
+that grants the slot nor the ingress that gets the request back may let it through, as the next
+sidecar may not have received the crash reports yet.
 """
 
 import threading
@@ -23,16 +23,16 @@
 
 WORK = "deadly"
 WAIT_S = 5.0
-"""Seconds until a test gives up waiting for something that should be there at once."""
+"""Timeout for conditions that normally hold at once."""
 
 
 def ended_row() -> Row:
-    """Return what nodes tell each other of a request under which enough targets ended."""
+    """Return the gossip row of a request under which enough targets crashed."""
     return [WORK, -1.0, [[f"target-{number}/1", 0.1] for number in range(ENDS)]]
 
 
 class Queue:
-    """A target whose slots are taken for a while, and the request that waits for one."""
+    """A target whose slots are in use for a while, and a request that waits for one."""
 
     def __init__(self, bench: Bench) -> None:
         self.bench = bench
@@ -45,14 +45,14 @@
         self._wait_for(lambda: bench.sidecar.targets["t"]._slots.waiting == 1)
 
     def outcome(self) -> Outcome:
-        """Return what became of the request that waited."""
+        """Return the outcome of the request that waited."""
         self._waiting.join(WAIT_S)
         assert not self._waiting.is_alive()
         (sent_back,) = [one for one in self.replies if isinstance(one.outcome, NotRun)]
         return sent_back.outcome
 
     def finish(self) -> None:
-        """Wait until the target has answered the others."""
+        """Wait until the target has answered the other requests."""
         for thread in self._busy:
             thread.join(WAIT_S)
 
@@ -73,7 +73,7 @@
 
 
 def test_what_is_found_out_while_it_waits_keeps_it_from_its_turn(bench: Bench) -> None:
-    """It came to the door before the third target ended, and its slot is free after that."""
+    """It was queued before the third target crashed, and its slot is granted after that."""
     queue = Queue(bench)
     bench.sidecar.quarantine.hear(clock.now(), ended_row())
     outcome = queue.outcome()
@@ -84,7 +84,7 @@
 
 
 def test_a_drained_target_sends_it_back_and_it_does_not_run_there(bench: Bench) -> None:
-    """Nor anywhere else on this VM, whichever target it is sent to next."""
+    """Nor does it run when it is sent to this VM again."""
     queue = Queue(bench)
     bench.sidecar.quarantine.hear(clock.now(), ended_row())
     bench.configure(revision=3, leaving=True)
@@ -101,7 +101,7 @@
 
 
 class DrainedSidecar(FakeSidecar):
-    """Sends an attempt back, when news of its work has come; the next one would be let through."""
+    """Receives a crash report, then returns an attempt; it would answer the next attempt."""
 
     def __init__(self, *before: Outcome) -> None:
         super().__init__([*before, Answered(200, [], b"ok")])
@@ -125,10 +125,11 @@
 def test_what_is_sent_back_is_not_sent_on_by_an_ingress_that_knows(
     method: str, before: list[Outcome], why: Reason
 ) -> None:
-    """The next door may not have heard yet; what was lost before is not told as not run.
+    """The next sidecar may not have the crash reports yet.
 
-    What was seen: an ingress that had heard of three ends sent the request on all the same, to up
-    to 40 doors, and the first that had not heard let it through.
+    An ingress that knew of three crashes redirected the request nevertheless, to up to 40 sidecars,
+    and the first one without the reports let it through. A request that was lost before is not
+    reported as not run.
     """
     sidecar = DrainedSidecar(*before, NotRun(why, RETRY_SOON_MS))
     outcome = dispatcher(sidecar).dispatch(request(method, fingerprint=WORK)).outcome
@@ -142,7 +143,7 @@
 
 
 def test_another_request_that_is_sent_back_goes_elsewhere() -> None:
-    """As any does of which nothing is known."""
+    """A request without crash reports is redirected as usual."""
     sidecar = DrainedSidecar(NotRun(Reason.LEAVING, RETRY_SOON_MS))
     outcome = dispatcher(sidecar).dispatch(request("POST", fingerprint="other")).outcome
     assert isinstance(outcome, Answered)
--- a/tests/test_key_shown_nowhere.py
+++ b/tests/test_key_shown_nowhere.py
@@ -1,7 +1,7 @@
-"""Real nodes whose callers show keys: no output holds one, and what goes on names the customer.
+"""Callers send API keys to real nodes: no output contains a key, targets get the customer's name.
 
-What nodes send each other is deflated, so frames and datagrams are looked at as messages, at the
-place where they are written.
+Frames and datagrams between nodes are compressed, so they are checked as messages, before they are
+encoded.
 """
 
 import http.client
@@ -31,7 +31,7 @@
 
 
 def ask(ip: str, headers: dict[str, str], path: str = "/a/1") -> tuple[int, str]:
-    """Return status and all text of an answer."""
+    """Send a request; return the status, and the headers and body as text."""
     connection = http.client.HTTPConnection(ip, PORTS["callers"], timeout=5.0)
     base = {"Host": "h.example", "Request-Id": "id-7", "Deadline-Ms": "1500"}
     connection.request("GET", path, headers=base | headers)
@@ -42,12 +42,12 @@
 
 
 def token(key: str) -> dict[str, str]:
-    """Return the header that shows a key."""
+    """Return headers with a key, and with a forged customer name."""
     return {"Authorization": f"Token {key}", "Tenant-Id": "forged"}
 
 
 def until(done: Any) -> None:
-    """Wait until something holds."""
+    """Wait until `done` returns true; fail after `LIMIT_S`."""
     limit = clock.now() + LIMIT_S
     while clock.now() < limit:
         try:
@@ -56,7 +56,7 @@
         except OSError:
             pass
         time.sleep(0.1)
-    raise AssertionError("it never came about")
+    raise AssertionError("condition not met in time")
 
 
 def page(ip: str, path: str) -> str:
@@ -69,13 +69,13 @@
 
 
 def published(version: int, *keys: str) -> Any:
-    """Return a configuration whose one customer has these keys."""
+    """Return a configuration with one customer that has these keys."""
     rows = [["get", "h.example", "/a/", "idempotent", "s", None]]
     return config(version, rows, customers=[["library", list(keys), 100, 100]])
 
 
 def start(ip: str, folder: Path) -> "subprocess.Popen[bytes]":
-    """Start a node; all that it writes goes to a file."""
+    """Start a node; its output goes to a file."""
     settings = {
         "vm": ip,
         "hall": "h",
@@ -94,7 +94,7 @@
 
 
 def test_no_message_between_nodes_holds_a_key() -> None:
-    """Neither the news of a configuration nor what is told of a customer's requests."""
+    """Neither a source update with a configuration nor a report of a customer's requests."""
     journal = Journal()
     journal.note(
         Changes(Position(0, 3), (ConfigPublished(decode.config(published(3, KEY))),), whole=True),
@@ -109,7 +109,7 @@
 
 
 def test_no_output_of_real_nodes_holds_a_key(tmp_path: Path) -> None:
-    """Logs at their finest, pages, metrics, answers, what targets get; and none works once gone."""
+    """Debug logs, pages, metrics, responses and target requests; a removed key is rejected."""
     target, store = RawTarget(), StoreState()
     store.put("op/config", published(3, KEY, GONE))
     store.put("servers/i-1", entry(f"{IPS[0]}:8110"))
--- a/tests/test_machine.py
+++ b/tests/test_machine.py
@@ -1,12 +1,16 @@
-"""Model checking of "runs at most once" and "not run is true" over the real decision code.
+"""Model checking of "runs at most once" and "not run is true" with the real decision code.
 
-Real ingresses, transports, streams, sidecars, fences, doors and admission run in a virtual world
-(tests/virtual.py, tests/machine_model.py) beside model targets and a ledger (tests/gray_target.py).
-A frame cannot be duplicated: TCP gives each byte once, and a frame's MAC covers its number on its
-connection. So what is modelled is delay, loss of a connection at any byte, for one side or both,
-and cuts one way.
+Real ingresses, transports, streams, sidecars, fences, circuit breakers and admission run in a
+virtual world (tests/virtual.py, tests/machine_model.py) with model targets and a ledger
+(tests/gray_target.py). A frame cannot be duplicated: TCP delivers each byte once, and a frame's MAC
+covers its number on its connection. So the model has delays, resets of a connection at any byte,
+for one side or both, and cuts in one direction.
 
-Which mechanisms it misses when they are off is shown by `tools/mechanism_off --test test_machine`.
+`tools/mechanism_off --test test_machine` shows which mechanisms can be off without a failure here.
+
+Hypothesis derives its random choices from the source of the machine classes at the end, their doc
+comments included, and from the names of rules and arguments: an edit there changes which examples
+are run.
 """
 
 import os
@@ -22,9 +26,9 @@
 VM = st.integers(0, len(VMS) - 1)
 TARGET = st.integers(0, len(TARGETS) - 1)
 ANY = st.integers(0, 50)
-"""Picks one of what there is at the moment."""
+"""Selects one of the current items."""
 BACK = st.integers(0, 3)
-"""Picks one of the newest."""
+"""Selects one of the newest items."""
 HOLD = st.sampled_from(
     [
         (),
@@ -39,33 +43,33 @@
         (b"",),
     ]
 )
-"""Frames with any of these bytes are delayed on their way: none, some kinds, all."""
+"""Frames that contain any of these bytes are delayed: none, some kinds, all."""
 METHOD = st.sampled_from(["POST", "GET"])
 MOOD = st.sampled_from([Mood.RUN, Mood.RUN, Mood.HANG, Mood.HANG, *Mood])
 END = st.sampled_from([Mood.RUN, Mood.FAIL, Mood.LOSE_BEFORE, Mood.LOSE_AFTER])
 BYTES = st.sampled_from([0, 1, 5, 40, 100_000])
-"""How many bytes under way survive a reset."""
+"""Bytes in flight that are delivered before a reset."""
 SIDES = st.sampled_from([(True, False), (False, True), (True, True)])
-"""Whether a reset is seen by the client, and by the server."""
+"""Whether the client and the server see a reset."""
 PART = st.sampled_from([None, None, 1, 5, 40])
 SECONDS = st.sampled_from([0.01, 0.1, 0.3, 2.5, 6.0])
 STILL_S = st.sampled_from([181.0, 181.0, 0.6])
-"""Seconds that a process stands still; after the longest a sidecar drops its fences."""
+"""Seconds that a process is frozen; after the longest a sidecar drops its fences."""
 LOSS = st.sampled_from(["caller", "connection", "time", "process"])
 AMID = 3
-"""Requests at once, so that one meets the connection on which something is delayed."""
+"""Concurrent requests, so that one uses the connection on which something is delayed."""
 REPLY_S = 2.5
-"""Seconds after which no ingress waits for a reply any more."""
+"""Seconds after which no ingress waits for a reply."""
 LONGEST_S = 5.0
-"""Seconds in which every request has an outcome once all is mended; routes give it two."""
+"""Seconds until every request has an outcome once all faults end; the route timeout is 2 s."""
 
 EXAMPLES = {"late": 100, "shared": 35, "gray": 25, "key": 110, "full": 20}
 STEPS = 30
-"""8,700 steps in all; with SHRINK in the environment a failure is made short: it takes minutes."""
+"""8,700 steps in all. With SHRINK in the environment a failure is shrunk, which takes minutes."""
 
 
 class Promises(RuleBasedStateMachine):
-    """The world, time, and what must hold at every step."""
+    """The world, time, and the invariants checked at every step."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -97,13 +101,13 @@
             self.model.close()
 
     def _awaiting(self, vm: int) -> int:
-        """Return a VM to which something is delayed, if there is any."""
+        """Return a VM to which something is delayed, or `vm` if there is none."""
         found = sorted({VMS.index(pipe.sink) for pipe in self.model.delayed()}) or [vm]
         return found[vm % len(found)]
 
 
 class Traffic(Promises):
-    """Requests, and what callers and ingresses lose of them."""
+    """Requests, and losses of their callers, connections and processes."""
 
     @rule(vm=VM, method=METHOD, hold=HOLD)
     def send(self, vm: int, method: str, hold: Hold) -> None:
@@ -111,7 +115,7 @@
 
     @rule(vm=VM, method=METHOD, hold=HOLD, loss=LOSS)
     def send_and_lose(self, vm: int, method: str, hold: Hold, loss: str) -> None:
-        """Send a request whose caller, connection or time is lost while frames are delayed."""
+        """Send a request; lose its caller, connection, process or time while frames are delayed."""
         one = self.model.send(vm, method, "", None, hold)
         match loss:
             case "caller":
@@ -133,11 +137,11 @@
 
 
 class Amid(Promises):
-    """Requests on whose connections something comes late."""
+    """Requests on connections with delayed data."""
 
     @rule(vm=VM, method=METHOD)
     def send_amid_late_frames(self, vm: int, method: str) -> None:
-        """Send requests, and have everything that was delayed arrive while they are under way."""
+        """Send requests, and deliver all delayed data while they are in flight."""
         for _ in range(AMID):
             self.model.send(self._awaiting(vm), method, "", None, ())
         self.model.release()
@@ -152,7 +156,7 @@
 
     @rule(vm=VM, back=BACK, hold=HOLD, release=st.booleans())
     def repeat(self, vm: int, back: int, hold: Hold, release: bool) -> None:
-        """Repeat a request; what was delayed arrives soon after, or stays delayed."""
+        """Repeat a request; delayed data is delivered right after, or stays delayed."""
         since = self.world.now - WINDOW_S
         keyed = [one for one in self.model.ledger.sent.values() if one.key and one.at > since]
         if keyed:
@@ -163,7 +167,7 @@
 
 
 class Targets(Promises):
-    """Targets change their moods, and run late what they hold."""
+    """Targets that change their mode, and end the requests that they hold late."""
 
     @rule(which=TARGET, every=st.booleans(), mood=MOOD)
     def turn(self, which: int, every: bool, mood: Mood) -> None:
@@ -181,7 +185,7 @@
 
 
 class Network(Promises):
-    """Connections that are slow, break off, or are cut one way."""
+    """Connections that are delayed, reset, or cut in one direction."""
 
     @rule(back=BACK, size=PART, hold=HOLD)
     def deliver(self, back: int, size: int | None, hold: Hold) -> None:
@@ -214,7 +218,7 @@
 
 
 class Nodes(Promises):
-    """Processes that stand still or start anew."""
+    """Processes that freeze or restart."""
 
     @rule(vm=VM, ticker_first=st.booleans(), hold=HOLD)
     def freeze_or_wake(self, vm: int, ticker_first: bool, hold: Hold) -> None:
@@ -232,7 +236,7 @@
 
     @rule(vm=VM, aimed=st.booleans(), hold=HOLD)
     def restart(self, vm: int, aimed: bool, hold: Hold) -> None:
-        """Kill a process and start it anew, if aimed that which got the newest request."""
+        """Restart a process; with `aimed`, the one that got the newest request."""
         reached = self.model.reached()
         self.model.restart(VMS.index(reached[-1]) if aimed and reached else vm)
         self.world.settle(hold)
--- a/tests/test_platform_path.py
+++ b/tests/test_platform_path.py
@@ -1,4 +1,4 @@
-"""The whole path as the platform speaks it: a daemon, the store's stand-in and raw targets."""
+"""End-to-end tests of the platform's protocol: a daemon, a stand-in for the store, raw targets."""
 
 import http.client
 import json
@@ -23,7 +23,7 @@
 
 
 class RawTarget:
-    """Answers with the request's id, or breaks off; notes the heads it was sent."""
+    """Echoes the request id, or closes the connection; records the heads received."""
 
     def __init__(self) -> None:
         self.heads: list[bytes] = []
@@ -32,7 +32,7 @@
         threading.Thread(target=self._accept, daemon=True).start()
 
     def close(self) -> None:
-        """Stop to listen, also for the thread that accepts."""
+        """Stop listening, and end the thread that accepts."""
         self.listener.shutdown(socket.SHUT_RDWR)
         self.listener.close()
 
@@ -68,7 +68,7 @@
 
 
 class Stage:
-    """The processes and stand-ins of one test."""
+    """The daemon, store and target of one test."""
 
     def __init__(self, folder: Path) -> None:
         self.target = RawTarget()
@@ -110,7 +110,7 @@
         return response.status, body
 
     def wait_ready(self, status: int = 200) -> None:
-        """Wait until the readiness check answers so."""
+        """Wait until the readiness check responds with this status."""
         deadline = clock.now() + 10.0
         while clock.now() < deadline:
             try:
@@ -119,17 +119,17 @@
             except OSError:
                 pass
             time.sleep(0.05)
-        raise AssertionError("not in time")
+        raise AssertionError("readiness status not reached in time")
 
     def wait_for_line(self, part: str, times: int = 1) -> None:
-        """Wait until the daemon has logged so many lines with some text."""
+        """Wait until the daemon has logged a text so many times."""
         deadline = clock.now() + 10.0
         while Path(self.log.name).read_text().count(part) < times:
-            assert clock.now() < deadline, "not in time"
+            assert clock.now() < deadline, "log text not found in time"
             time.sleep(0.05)
 
     def close(self) -> None:
-        """End what was started."""
+        """Stop the daemon, the store and the target."""
         self.daemon.kill()
         self.daemon.wait()
         self.log.close()
@@ -139,7 +139,7 @@
 
 @pytest.fixture
 def stage(tmp_path: Path) -> Iterator[Stage]:
-    """Start everything and wait until it serves."""
+    """Start everything and wait until the daemon is ready."""
     made = Stage(tmp_path)
     try:
         made.wait_ready()
@@ -149,7 +149,7 @@
 
 
 def test_a_request_and_what_its_target_is_told(stage: Stage) -> None:
-    """Id, path and body unchanged; deadline, instance and origin as the platform wants them."""
+    """Id, path and host are unchanged; deadline, instance and origin have their headers."""
     assert stage.ask("GET", "/a/x?q=1") == (200, b"ok")
     head = stage.target.heads[-1]
     assert head.startswith(b"GET /a/x?q=1 HTTP/1.1\r\n")
@@ -162,7 +162,7 @@
 
 
 def test_a_target_that_breaks_off_is_refused_for_what_must_not_repeat(stage: Stage) -> None:
-    """The first is unknown; those after it are refused before a byte reaches the target."""
+    """The first outcome is unknown; later requests are refused before a byte is sent."""
     stage.target.resets = 1
     assert stage.ask("POST", "/b/x")[0] == 504
     sent = len(stage.target.heads)
@@ -172,7 +172,7 @@
 
 
 def test_a_stop_serves_on_until_callers_have_been_sent_elsewhere(stage: Stage) -> None:
-    """Not ready at once, answers for two seconds more, then ends by itself."""
+    """It is not ready at once, serves for two more seconds, then exits by itself."""
     stage.daemon.send_signal(signal.SIGTERM)
     stage.wait_ready(503)
     assert stage.ask("GET", "/a/x") == (200, b"ok")
@@ -180,7 +180,7 @@
 
 
 def test_a_hang_up_reads_the_settings_again_and_ends_nothing(stage: Stage) -> None:
-    """Twice at once, with a file that cannot be used, and with one that can."""
+    """Two signals at once with an invalid file, then one with a valid file."""
     stage.path.write_text("{ no settings")
     for _ in range(2):
         stage.daemon.send_signal(signal.SIGHUP)
@@ -194,7 +194,7 @@
 
 
 def test_a_settings_file_that_changes_without_a_signal_is_read_again(stage: Stage) -> None:
-    """Its budget of repeats is in force then."""
+    """The new retry budget then applies."""
     store = {**stage.settings["store"], "retry_slack": 90}
     stage.path.write_text(json.dumps({**stage.settings, "store": store}))
     stage.wait_for_line("settings-in-force")
@@ -203,7 +203,7 @@
 
 
 def test_without_a_configuration_it_answers_503_and_not_404(tmp_path: Path) -> None:
-    """It does not know its routes yet."""
+    """The routes are not known yet."""
     stage = Stage(tmp_path)
     stage.store.status = 503
     try:
--- a/tests/test_scenario.py
+++ b/tests/test_scenario.py
@@ -1,4 +1,4 @@
-"""Runs every scenario against real processes."""
+"""Runs every scenario in tests/scenarios with real processes."""
 
 from pathlib import Path
 
--- a/tests/test_stop_hazards.py
+++ b/tests/test_stop_hazards.py
@@ -1,4 +1,4 @@
-"""What may still end a request under its caller, or a stop under its requests."""
+"""Rare conditions that could lose a request during a planned stop, or abort the stop."""
 
 import contextlib
 import json
@@ -30,12 +30,12 @@
 __all__ = ["bench", "way"]
 
 FULL = (ADDRESS, 7899)
-"""Where a target listens that accepts nobody."""
+"""Address of a target that accepts no connection."""
 USUAL_MS = 300.0
 
 
 def test_what_a_peer_agreed_to_too_late_is_not_sent(way: Way) -> None:
-    """A slow word takes the time in which the request could have been answered."""
+    """A slow acceptance uses up the time in which the request could have been answered."""
     way.view.ending.at = clock.now() + ANSWER_MIN_S + 0.3
     thread = way.send(1, usual_ms=USUAL_MS, pressing=True)
     assert way.peer.asked.wait(5.0)
@@ -49,7 +49,7 @@
 def test_a_slot_that_is_granted_too_late_starts_nothing(
     bench: Bench, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A node that gets little processor time may reach the start long after the grant."""
+    """A node that is short of CPU time may start the request long after its slot is granted."""
     sidecar, ending = bench.sidecar, bench.sidecar._ending
 
     def starved() -> float:
@@ -64,10 +64,10 @@
 
 
 def test_a_target_that_takes_no_connection_holds_nobody_until_its_node_ends(bench: Bench) -> None:
-    """Nothing of the request was sent: it did not run, and its caller can be told."""
+    """Nothing of the request was sent, so its caller is told that it did not run."""
     bench.server.stop()
     with socket.create_server(FULL, backlog=0) as listener, contextlib.ExitStack() as others:
-        for _ in range(3):  # more than it holds, none of which it accepts
+        for _ in range(3):  # more than its backlog; it accepts none
             others.enter_context(waiting := socket.socket())
             waiting.setblocking(False)
             waiting.connect_ex(FULL)
@@ -82,7 +82,7 @@
 
 
 def test_who_queues_at_the_moment_of_a_drain_is_sent_back() -> None:
-    """Whoever has seen the target in service and was not yet in the queue is woken by nobody."""
+    """A request that saw the target in service and then entered the queue would never be woken."""
     slots = full_slots(Ending())
     slots._queued = Late(slots)
     waiting = Waiting(slots, attempt(1))
@@ -92,7 +92,7 @@
 
 
 class Late(dict[str, Any]):
-    """Has the target drained just before somebody is written into the queue."""
+    """Queue that drains the target just before a request is added."""
 
     def __init__(self, slots: Any) -> None:
         super().__init__()
@@ -106,7 +106,7 @@
 def test_a_recall_that_finds_no_thread_does_not_end_the_stop(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """On a machine whose threads are used up it is asked again; all else in flight goes on."""
+    """On a machine out of threads the recall is retried later; other requests continue."""
     one = dispatcher(FakeSidecar([]))
     one._view.nodes["vm-9"] = PeerNode("vm-9", ADDRESS, 1, "hall", "region")
     one.pending["a"] = Pending("s", "t", clock.now(), "vm-9")
@@ -120,7 +120,7 @@
 
 
 class Closing(socket.socket):
-    """Closes once it was asked whether it is open."""
+    """Closes itself when its descriptor is read."""
 
     def fileno(self) -> int:
         number = super().fileno()
@@ -129,7 +129,7 @@
 
 
 def test_a_connection_that_closes_during_a_look_does_not_end_the_stop() -> None:
-    """Its thread closes it whenever it is done."""
+    """The connection's own thread may close it at any time."""
     settings = Settings("vm-1", "hall", "region", ADDRESS, ADDRESS, Ports(0, 0, 0, 0), "")
     one = dispatcher(FakeSidecar([]))
     ingress = Ingress(settings, one, one._view, Metrics())
@@ -138,7 +138,7 @@
 
 
 class Idle:
-    """Callers of whom none asks."""
+    """Callers without requests."""
 
     def active(self) -> int:
         return 0
@@ -148,14 +148,14 @@
 
 
 class Busy(Idle):
-    """Callers of whom one waits."""
+    """Callers with one request in flight."""
 
     def active(self) -> int:
         return 1
 
 
 class Failing(Idle):
-    """Callers who cannot be counted once."""
+    """Callers whose second count raises an error."""
 
     looks = 0
 
@@ -167,7 +167,7 @@
 
 
 def test_a_look_that_fails_does_not_end_the_process() -> None:
-    """Seen: with that, the process ended at once under all that targets worked on."""
+    """Such an error used to end the process at once, with requests still running at targets."""
     sidecar = Sidecar("vm-1", 7, PauseWatch(), pull=dict, behind=lambda *_: None)
     one = dispatcher(sidecar)
     callers = Failing()
@@ -177,7 +177,7 @@
 
 @pytest.mark.parametrize("callers", [Idle(), Busy()])
 def test_a_limit_shorter_than_the_time_of_serving_is_kept(callers: Idle) -> None:
-    """Who wants the node gone by then ends it, and nobody would learn what that cut."""
+    """After the limit the process is killed, and the cut requests would not be logged."""
     sidecar = Sidecar("vm-1", 7, PauseWatch(), pull=dict, behind=lambda *_: None)
     one = dispatcher(sidecar)
     began = clock.now()
@@ -189,7 +189,7 @@
 def test_a_recall_of_many_is_logged_in_a_whole_line(
     way: Way, caplog: pytest.LogCaptureFixture
 ) -> None:
-    """Whoever traces a stop reads these lines by program."""
+    """`roadpass trace` parses these lines."""
     caplog.set_level(logging.INFO, "roadpass")
     way.transport.recall("vm-1", [f"10.3.0.58/1796274215987/{number}" for number in range(60)])
     wait_for(lambda: any(record.getMessage() == "recalled" for record in caplog.records))
--- a/tests/test_stop_more.py
+++ b/tests/test_stop_more.py
@@ -1,16 +1,16 @@
-"""A node that is told to stop, and peers or targets that say nothing any more.
+"""A node that gets SIGTERM while a peer or a target is unresponsive.
 
-How: a request waits beside another VM whose process stands still from then on, as on a host that is
-short of everything; no word on it comes from there. Or a slot becomes free late in the stop, and
-the target takes no connection: it is dark. SIGTERM to the node that has the caller.
+A request is queued at a peer whose process freezes, as on an overloaded host, and never reports on
+it. Or a slot becomes free late in the shutdown, and the target accepts no connection. The node that
+has the caller gets SIGTERM.
 
-Cause: what a peer was given is waited for until the end, as long as nobody says that it never
-starts. A silent peer says nothing; one that connects to its target says that it has started, and
-connects for up to a second, whatever the asking node's end.
+The failure: the node waited for the peer until its own end, as long as the peer had not promised
+that the request never starts. A frozen peer promises nothing; a peer that connects to its target
+reports the request as started, and tries to connect for up to a second, whatever the other node's
+time of shutdown. The target never received the request, and the node listed it as cut at the limit.
 
-So a connection is given up long before the end, and a silent peer in time to tell the caller.
-
-Proof: the target never had the request, and its node lists it as cut when the limit passes.
+So the attempt to connect has to end long before the shutdown does, and the wait for an unresponsive
+peer early enough to answer the caller.
 """
 
 import signal
@@ -28,20 +28,20 @@
 from tests.test_stop import RUNS_ON_S, waits
 
 QUEUED_S = 0.3
-"""Seconds after its first refusal in which a request has come to wait for its turn."""
+"""Seconds after its first refusal until a request is in the queue."""
 ANSWERED_S = GRACE_S - 0.3
-"""An answer must be there by then: the node ends."""
+"""Seconds from SIGTERM by which the caller must have a response, before the node ends."""
 ASKED_AT_S = 2.3
-"""Seconds from the word to stop to the last request, which is still taken then."""
+"""Seconds from SIGTERM to the last request; the node still accepts it."""
 FREE_AT_S = GRACE_S - STOP_MARGIN_S - ANSWER_MIN_S - 0.1
-"""Seconds to the moment at which the slot is free: short requests are still started, just."""
+"""Seconds from SIGTERM until the slot is free: just early enough to start a short request."""
 SHORT_S = 0.1
 SAMPLES = 30
-"""Requests after which nodes know how long one of a kind takes."""
+"""Requests after which nodes know the typical latency of a kind."""
 
 
 class DarkTarget:
-    """Listens, and takes no connection: its queue of them is full."""
+    """Listens but accepts no connection: its backlog is full."""
 
     def __init__(self, ip: str) -> None:
         self.listener = socket.create_server((ip, TARGET_PORT), backlog=0)
@@ -51,7 +51,7 @@
             sock.connect_ex((ip, TARGET_PORT))
 
     def close(self) -> None:
-        """Stop to listen."""
+        """Stop listening."""
         for sock in (*self._filling, self.listener):
             sock.close()
 
@@ -68,7 +68,7 @@
 
 @pytest.fixture
 def dark(pair: Stopping) -> Iterator[list[DarkTarget]]:
-    """Hold the targets that go dark, and the sound ones in their places at the end."""
+    """Collect the dark targets; at the end close them and restore the working target."""
     made: list[DarkTarget] = []
     try:
         yield made
@@ -80,7 +80,7 @@
 
 
 def assert_told(asked: Asked, target: TimedTarget, told_at: float) -> None:
-    """Assert that no target had a request, and that its caller got an answer before the end."""
+    """Assert that no target got a request, and that its caller got a response in time."""
     asked.join(GRACE_S + 2.0)
     assert "queued" not in target.came
     assert asked.status in {502, 503, 504}
@@ -89,7 +89,7 @@
 
 @pytest.mark.parametrize("method", ["GET", "POST"])
 def test_what_waits_beside_a_vm_that_stands_still_is_answered(pair: Stopping, method: str) -> None:
-    """Nobody takes it back, and nobody will answer it."""
+    """The frozen peer neither returns the request nor answers it."""
     pair.ask_target(0, 1, "POST", RUNS_ON_S, "runs")
     queued = pair.ask(0, method, 0.0, "queued")
     wait_until(lambda: waits(pair, 0, "queued"), 5.0)
@@ -103,7 +103,7 @@
 def test_what_a_target_in_the_dark_never_had_is_answered(
     pair: Stopping, dark: list[DarkTarget], method: str
 ) -> None:
-    """Its slot is taken, but there is no connection yet when its ingress ends."""
+    """It has its slot, but no connection yet when its ingress shuts down."""
     for number in range(SAMPLES):
         pair.ask(0, method, SHORT_S, f"short-{number}").join()
     head = "POST /post/{} HTTP/1.1\r\nHost: h.example\r\nRequest-Id: runs\r\n"
--- a/tests/test_stop_order.py
+++ b/tests/test_stop_order.py
@@ -1,4 +1,4 @@
-"""A stop meets a request in whatever order their steps come."""
+"""Planned stops and requests whose steps interleave in any order."""
 
 import itertools
 import signal
@@ -32,14 +32,14 @@
 ADDRESS = "127.0.44.2"
 HELLO: Message = {"t": "hello", "vm": "vm-2", "incarnation": 1}
 COMES_S = 0.5
-"""Seconds from SIGTERM: callers are still served."""
+"""Seconds from SIGTERM at which callers are still served."""
 PAUSED_UNTIL_S = GRACE_S - 0.7
-"""Seconds from SIGTERM: later than what waits is usually sent back."""
+"""Seconds from SIGTERM: later than queued requests are normally returned."""
 _PORTS = itertools.count(7811)
 
 
 class Peer(Sidecar):
-    """A peer whose word and whose taking of an attempt wait until a test lets them."""
+    """A peer that delays its acceptance and its replies until the test allows them."""
 
     def __init__(self) -> None:
         super().__init__("vm-1", 7, PauseWatch(), pull=dict, behind=lambda *_: None)
@@ -64,7 +64,7 @@
 
 
 class Way:
-    """An ingress with a transport, and its peer behind a stream."""
+    """The transport of an ingress, and a peer that it reaches over a stream."""
 
     def __init__(self, port: int) -> None:
         self.peer = Peer()
@@ -78,7 +78,7 @@
         self.outcomes: list[Outcome] = []
 
     def send(self, number: int, **changes: object) -> threading.Thread:
-        """Send an attempt from a thread of its own."""
+        """Send an attempt in a thread."""
         one = attempt(number, **changes)
 
         def run() -> None:
@@ -96,7 +96,7 @@
 
 @pytest.fixture
 def way() -> Iterator[Way]:
-    """Open a way to a peer."""
+    """Return a link to a peer."""
     made = Way(next(_PORTS))
     try:
         yield made
@@ -105,15 +105,15 @@
 
 
 def wait_for(holds: Any) -> None:
-    """Wait a short while for something."""
+    """Wait until `holds` returns true; fail after 5 s."""
     limit = clock.now() + 5.0
     while not holds():
-        assert clock.now() < limit, "it never came about"
+        assert clock.now() < limit, "condition not met in time"
         threading.Event().wait(0.002)
 
 
 def test_what_a_peer_promised_never_to_start_is_told_its_caller(way: Way) -> None:
-    """Its frame may still be on the way, or its reply lost: the word on the recall is proof."""
+    """Its frame may be in flight, or its reply lost; the reply to the recall is proof enough."""
     way.peer.agrees.set()
     thread = way.send(1)
     wait_for(lambda: way.peer.attempts)
@@ -124,7 +124,7 @@
 
 
 def test_the_promise_of_another_process_is_no_proof(way: Way) -> None:
-    """A peer that has started anew never had the attempt, and the one before may have run it."""
+    """A restarted peer never had the attempt, but the process before it may have run it."""
     way.peer.agrees.set()
     thread = way.send(1)
     wait_for(lambda: way.peer.attempts)
@@ -139,7 +139,7 @@
 
 
 def test_a_recall_before_the_frame_is_there(bench: Bench) -> None:
-    """It never starts; its own reply says so, and it takes no slot."""
+    """The attempt never starts: its reply says so, and it takes no slot."""
     assert bench.sidecar.recall(["vm-2/1/1"]) == ["vm-2/1/1"]
     assert bench.sidecar.recall(["vm-2/1/1"]) == ["vm-2/1/1"]
     outcome = bench.sidecar.run(attempt(1)).outcome
@@ -150,7 +150,7 @@
 
 
 def test_recalls_and_starts_at_once_agree(bench: Bench) -> None:
-    """What was promised never to start has not run, and all else has been answered."""
+    """A recalled attempt has not run, and every other one has been answered."""
     bench.state.behaviour.median_ms = 0.0
     told: set[str] = set()
     outcomes: dict[str, Outcome] = {}
@@ -193,7 +193,7 @@
 
 
 def queued(stage: Stopping) -> Asked:
-    """Have a request of the first node wait at the second's target, which hangs."""
+    """Queue a request of the first node at the second node's target, which is busy."""
     stage.ask_target(1, 1, "POST", RUNS_ON_S, "runs")
     asked = stage.ask(0, "POST", 0.0, "queued")
     wait_until(lambda: waits(stage, 0, "queued"), 5.0)
@@ -205,7 +205,7 @@
 def test_what_comes_while_its_node_stops_and_waits_is_sent_back(
     pair: Stopping, node: int, method: str
 ) -> None:
-    """A node that stops has no repeat to offer, so no objective ends the wait of a read."""
+    """A stopping node has no repeats left, so a read waits on beyond its latency objective."""
     pair.ask_target(1, 1, "POST", RUNS_ON_S, "runs")
     told_at = pair.tell_to_stop(node)
     threading.Event().wait(COMES_S)
@@ -216,7 +216,7 @@
 
 
 def test_both_nodes_stop(pair: Stopping) -> None:
-    """The one with the caller and the one with the queue."""
+    """Both the node that has the caller and the node that has the queue."""
     asked = queued(pair)
     told_at = pair.tell_to_stop(0)
     pair.tell_to_stop(1)
@@ -224,7 +224,7 @@
 
 
 def test_a_node_that_stands_still_while_it_stops_sends_back_when_it_wakes(pair: Stopping) -> None:
-    """The pause does not move the moment at which whoever wants it gone ends it."""
+    """The pause of the process does not defer the time of its SIGKILL."""
     asked = queued(pair)
     told_at = pair.tell_to_stop(0)
     threading.Event().wait(2.0)
@@ -237,7 +237,7 @@
 
 
 def test_a_node_that_still_starts_stops(single: Stopping) -> None:
-    """It may get the word before it listens for callers."""
+    """SIGTERM may come before the node listens for callers."""
     single.processes[0].kill()
     single.processes[0].wait()
     lines = len(single.log(0))
@@ -249,7 +249,7 @@
 
 
 def test_other_signals_change_nothing_of_a_stop(single: Stopping) -> None:
-    """Neither a second word to stop nor one on the settings."""
+    """Neither a second SIGTERM or SIGINT nor a SIGHUP, which reloads the settings."""
     asked = single.ask_target(0, 0, "POST", 4.5, "runs")
     single.tell_to_stop(0)
     for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGINT, signal.SIGTERM):
