--- a/tests/crowd.py
+++ b/tests/crowd.py
@@ -314,7 +314,7 @@
 
     def _advance_to(self, at: float) -> None:
         self.world.advance(at - self.world.now, lambda: None)
-        if any(self.load.forgets):
+        if any(self.load.crash_records_lost):
             self._forget()
         for node in self.nodes.values():
             if node.target.is_due(self.world.now):
@@ -324,12 +324,12 @@
 
     def hears(self, node: CrowdNode, peer: CrowdNode) -> bool:
         """Return whether two nodes can reach each other now."""
-        begin, end = self.load.apart
+        begin, end = self.load.partition
         return node.hall == peer.hall or not begin <= self.world.now - FIRST_S < end
 
     def _forget(self) -> None:
         """Clear the crash records of the nodes that are due for it now."""
-        begin, end = self.load.forgets
+        begin, end = self.load.crash_records_lost
         nodes = list(self.nodes.values())
         for number, node in enumerate(nodes):
             at = FIRST_S + begin + (end - begin) * (number + 1) / len(nodes)
--- a/tests/load.py
+++ b/tests/load.py
@@ -75,9 +75,9 @@
         troubles: Faults of the targets.
         slack: Repeats allowed per service in ten seconds, beyond a fifth of its requests.
         halls: Data halls over which the targets are spread.
-        apart: Begin and end, in seconds, of a partition between all data halls.
-        forgets: Begin and end, in seconds, of the time in which the nodes lose their crash records,
-            one after the other, as on a restart.
+        partition: Begin and end, in seconds, of a partition between all data halls.
+        crash_records_lost: Begin and end, in seconds, of the time in which the nodes lose their
+            crash records, one after the other, as on a restart.
     """
 
     kinds: dict[str, Kind]
@@ -87,8 +87,8 @@
     troubles: tuple[Trouble, ...] = ()
     slack: float = 60.0
     halls: int = 1
-    apart: tuple[float, float] = (0.0, 0.0)
-    forgets: tuple[float, float] = (0.0, 0.0)
+    partition: tuple[float, float] = (0.0, 0.0)
+    crash_records_lost: tuple[float, float] = (0.0, 0.0)
 
 
 class Told(NamedTuple):
--- a/tests/played_target.py
+++ b/tests/played_target.py
@@ -37,7 +37,7 @@
 
     def __init__(self) -> None:
         self.near, self.far = socket.socketpair()
-        self.looks = 0
+        self.checks = 0
 
     def fileno(self) -> int:
         """Return the watched descriptor."""
@@ -45,7 +45,7 @@
 
     def gone(self) -> bool:
         """Read what has arrived; return whether the caller has closed."""
-        self.looks += 1
+        self.checks += 1
         return not self.near.recv(100)
 
 
@@ -91,7 +91,7 @@
             self.listener.settimeout(5.0)
         return False
 
-    def kept(self, answer: bytes = WHOLE) -> socket.socket:
+    def idle_connection(self, answer: bytes = WHOLE) -> socket.socket:
         """Run one request; return its connection, which the client may keep for reuse."""
         future = self.ask()
         sock = self.accept()
@@ -100,7 +100,7 @@
         assert future.result(5.0).answer.body == b"hi"
         return sock
 
-    def asks_anew(self, **changes: Any) -> bool:
+    def opens_connection(self, **changes: Any) -> bool:
         """Run another request; return whether it used a new connection."""
         self.listener.settimeout(0.1)
         future = self.ask(**changes)
--- a/tests/stopping.py
+++ b/tests/stopping.py
@@ -38,7 +38,7 @@
     """Runs requests for the time that each path gives; records when each arrived."""
 
     def __init__(self, ip: str) -> None:
-        self.came: dict[str, float] = {}
+        self.received_at: dict[str, float] = {}
         self.listener = socket.create_server((ip, TARGET_PORT), backlog=64)
         threading.Thread(target=self._accept, daemon=True).start()
 
@@ -59,7 +59,7 @@
         with sock:
             while head := _receive(sock):
                 identity = _header(head, b"Request-Id")
-                self.came[identity.decode()] = clock.now()
+                self.received_at[identity.decode()] = clock.now()
                 took_s = float(head.split(b" ", 2)[1].rpartition(b"/")[2])
                 if select.select([sock], [], [], took_s)[0]:  # the client has closed the connection
                     return
@@ -69,7 +69,7 @@
                 )
 
 
-class Asked(threading.Thread):
+class CallerRequest(threading.Thread):
     """One request in a thread, with its status, 0 if the connection ended without a response.
 
     Args:
@@ -104,7 +104,7 @@
         self.told_at = clock.now()
 
 
-class Stopping:
+class NodeProcesses:
     """Nodes with a target of one slot each, and the store that publishes the targets.
 
     Args:
@@ -135,17 +135,19 @@
         value["Info"]["Capacity"] = 1
         self.store.put(f"servers/i-{number}", value)
 
-    def ask(self, node: int, method: str, took_s: float, identity: str) -> Asked:
+    def ask(self, node: int, method: str, took_s: float, identity: str) -> CallerRequest:
         """Send one request to a node."""
-        return Asked(self.ips[node], method, took_s, identity)
+        return CallerRequest(self.ips[node], method, took_s, identity)
 
-    def ask_target(self, node: int, target: int, method: str, took_s: float, name: str) -> Asked:
+    def ask_target(
+        self, node: int, target: int, method: str, took_s: float, name: str
+    ) -> CallerRequest:
         """Send one request, and wait until it has reached a target."""
         asked = self.ask(node, method, took_s, name)
-        wait_until(lambda: name in self.targets[target].came, 5.0)
+        wait_until(lambda: name in self.targets[target].received_at, 5.0)
         return asked
 
-    def tell_to_stop(self, number: int) -> float:
+    def send_sigterm(self, number: int) -> float:
         """Send SIGTERM, and SIGKILL after `GRACE_S`; return the time of the SIGTERM."""
         process = self.processes[number]
         told_at = clock.now()
--- a/tests/test_crashing.py
+++ b/tests/test_crashing.py
@@ -115,7 +115,7 @@
     """Each counts for itself meanwhile; what one holds then, or what several saw, all hold."""
     apart_s = (0.5, 5.0)
     for seed in SEEDS:
-        crowd = Crowd.run(crashing(seed)._replace(apart=apart_s), seed)
+        crowd = Crowd.run(crashing(seed)._replace(partition=apart_s), seed)
         joined = [at - FIRST_S for at in crowd.reached[PATH] if at - FIRST_S > apart_s[1]]
         assert sum(at > apart_s[1] + CONTACT_S for at in joined) <= MOST_AFTER
         assert crowd.share("served", ["submit"], between=(apart_s[1] + CONTACT_S, 10.0)) >= 0.97
@@ -124,6 +124,6 @@
 def test_nodes_that_start_anew_learn_of_it_from_others() -> None:
     """Every node forgets all once, one after the other, while the request goes on coming."""
     for seed in SEEDS:
-        crowd = Crowd.run(crashing(seed)._replace(forgets=(3.5, 9.0)), seed)
+        crowd = Crowd.run(crashing(seed)._replace(crash_records_lost=(3.5, 9.0)), seed)
         assert len(crowd.crashed[PATH]) >= 3, "the load shows nothing"
         assert reached_after(crowd) <= MOST_AFTER
--- a/tests/test_ending_elsewhere.py
+++ b/tests/test_ending_elsewhere.py
@@ -17,16 +17,16 @@
 
 import pytest
 
-from tests.stopping import GRACE_S, OBJECTIVE_S, Stopping
+from tests.stopping import GRACE_S, OBJECTIVE_S, NodeProcesses
 
 SLOW_S = OBJECTIVE_S + 0.6
 """Seconds of an answer that comes after its objective, but well before its node ends."""
 
 
 @pytest.fixture
-def pair(tmp_path: Path) -> Iterator[Stopping]:
+def pair(tmp_path: Path) -> Iterator[NodeProcesses]:
     """Start two nodes; only the second one's target is published."""
-    made = Stopping(tmp_path, 46, 2, served=(1,))
+    made = NodeProcesses(tmp_path, 46, 2, served=(1,))
     try:
         yield made
     finally:
@@ -35,10 +35,10 @@
 
 @pytest.mark.parametrize("node", [0, 1])
 def test_no_objective_breaks_off_what_a_target_has_once_its_node_stops(
-    pair: Stopping, node: int
+    pair: NodeProcesses, node: int
 ) -> None:
     """A node that stops has no repeat to offer, also to what was sent when it still had one."""
     asked = pair.ask_target(node, 1, "GET", SLOW_S, "slow")
-    told_at = pair.tell_to_stop(node)
+    told_at = pair.send_sigterm(node)
     asked.join(GRACE_S + 2.0)
     assert (asked.status, asked.told_at - told_at > OBJECTIVE_S) == (200, True)
--- a/tests/test_stop_more.py
+++ b/tests/test_stop_more.py
@@ -24,7 +24,15 @@
 from roadpass import clock
 from roadpass.ending import ANSWER_MIN_S
 from roadpass.stop import STOP_MARGIN_S
-from tests.stopping import GRACE_S, PORTS, TARGET_PORT, Asked, Stopping, TimedTarget, wait_until
+from tests.stopping import (
+    GRACE_S,
+    PORTS,
+    TARGET_PORT,
+    CallerRequest,
+    NodeProcesses,
+    TimedTarget,
+    wait_until,
+)
 from tests.test_stop import RUNS_ON_S, waits
 
 QUEUED_S = 0.3
@@ -57,9 +65,9 @@
 
 
 @pytest.fixture
-def pair(tmp_path: Path) -> Iterator[Stopping]:
+def pair(tmp_path: Path) -> Iterator[NodeProcesses]:
     """Start two nodes; only the second one's target is published."""
-    made = Stopping(tmp_path, 148, 2, served=(1,))
+    made = NodeProcesses(tmp_path, 148, 2, served=(1,))
     try:
         yield made
     finally:
@@ -67,7 +75,7 @@
 
 
 @pytest.fixture
-def dark(pair: Stopping) -> Iterator[list[DarkTarget]]:
+def dark(pair: NodeProcesses) -> Iterator[list[DarkTarget]]:
     """Collect the dark targets; at the end close them and restore the working target."""
     made: list[DarkTarget] = []
     try:
@@ -79,29 +87,31 @@
             pair.targets[1] = TimedTarget(pair.ips[1])
 
 
-def assert_told(asked: Asked, target: TimedTarget, told_at: float) -> None:
+def assert_told(asked: CallerRequest, target: TimedTarget, told_at: float) -> None:
     """Assert that no target got a request, and that its caller got a response in time."""
     asked.join(GRACE_S + 2.0)
-    assert "queued" not in target.came
+    assert "queued" not in target.received_at
     assert asked.status in {502, 503, 504}
     assert asked.told_at < told_at + ANSWERED_S
 
 
 @pytest.mark.parametrize("method", ["GET", "POST"])
-def test_what_waits_beside_a_vm_that_stands_still_is_answered(pair: Stopping, method: str) -> None:
+def test_what_waits_beside_a_vm_that_stands_still_is_answered(
+    pair: NodeProcesses, method: str
+) -> None:
     """The frozen peer neither returns the request nor answers it."""
     pair.ask_target(0, 1, "POST", RUNS_ON_S, "runs")
     queued = pair.ask(0, method, 0.0, "queued")
     wait_until(lambda: waits(pair, 0, "queued"), 5.0)
     time.sleep(QUEUED_S)
     pair.processes[1].send_signal(signal.SIGSTOP)
-    told_at = pair.tell_to_stop(0)
+    told_at = pair.send_sigterm(0)
     assert_told(queued, pair.targets[1], told_at)
 
 
 @pytest.mark.parametrize("method", ["GET", "POST"])
 def test_what_a_target_in_the_dark_never_had_is_answered(
-    pair: Stopping, dark: list[DarkTarget], method: str
+    pair: NodeProcesses, dark: list[DarkTarget], method: str
 ) -> None:
     """It has its slot, but no connection yet when its ingress shuts down."""
     for number in range(SAMPLES):
@@ -110,8 +120,8 @@
     rest = "Deadline-Ms: 20000\r\nContent-Length: 0\r\n\r\n"
     with socket.create_connection((pair.ips[0], PORTS["callers"])) as runs:
         runs.sendall((head.format(RUNS_ON_S) + rest).encode())
-        wait_until(lambda: "runs" in pair.targets[1].came, 5.0)
-        told_at = pair.tell_to_stop(0)
+        wait_until(lambda: "runs" in pair.targets[1].received_at, 5.0)
+        told_at = pair.send_sigterm(0)
         time.sleep(told_at + ASKED_AT_S - clock.now())
         queued = pair.ask(0, method, SHORT_S, "queued")
         sound = pair.targets[1]
--- a/tests/test_stop_order.py
+++ b/tests/test_stop_order.py
@@ -23,7 +23,7 @@
 from roadpass.transport import Transport
 from roadpass.view import PeerNode, View
 from tests.fake_sidecar import FakeSidecar, dispatcher
-from tests.stopping import GRACE_S, Asked, Stopping, wait_until
+from tests.stopping import GRACE_S, CallerRequest, NodeProcesses, wait_until
 from tests.test_sidecar import Bench, attempt, bench
 from tests.test_stop import RUNS_ON_S, assert_sent_back, waits
 
@@ -173,9 +173,9 @@
 
 
 @pytest.fixture
-def single(tmp_path: Path) -> Iterator[Stopping]:
+def single(tmp_path: Path) -> Iterator[NodeProcesses]:
     """Start one node with its target."""
-    made = Stopping(tmp_path, 46, 1)
+    made = NodeProcesses(tmp_path, 46, 1)
     try:
         yield made
     finally:
@@ -183,16 +183,16 @@
 
 
 @pytest.fixture
-def pair(tmp_path: Path) -> Iterator[Stopping]:
+def pair(tmp_path: Path) -> Iterator[NodeProcesses]:
     """Start two nodes; only the second one's target is published."""
-    made = Stopping(tmp_path, 46, 2, served=(1,))
+    made = NodeProcesses(tmp_path, 46, 2, served=(1,))
     try:
         yield made
     finally:
         made.close()
 
 
-def queued(stage: Stopping) -> Asked:
+def queued(stage: NodeProcesses) -> CallerRequest:
     """Queue a request of the first node at the second node's target, which is busy."""
     stage.ask_target(1, 1, "POST", RUNS_ON_S, "runs")
     asked = stage.ask(0, "POST", 0.0, "queued")
@@ -203,30 +203,32 @@
 @pytest.mark.parametrize("node", [0, 1])
 @pytest.mark.parametrize("method", ["GET", "POST"])
 def test_what_comes_while_its_node_stops_and_waits_is_sent_back(
-    pair: Stopping, node: int, method: str
+    pair: NodeProcesses, node: int, method: str
 ) -> None:
     """A stopping node has no repeats left, so a read waits on beyond its latency objective."""
     pair.ask_target(1, 1, "POST", RUNS_ON_S, "runs")
-    told_at = pair.tell_to_stop(node)
+    told_at = pair.send_sigterm(node)
     threading.Event().wait(COMES_S)
     asked = pair.ask(node, method, 0.0, "queued")
     wait_until(lambda: waits(pair, node, "queued"), 2.0)
     assert_sent_back(asked, told_at)
-    assert "queued" not in pair.targets[1].came
+    assert "queued" not in pair.targets[1].received_at
 
 
-def test_both_nodes_stop(pair: Stopping) -> None:
+def test_both_nodes_stop(pair: NodeProcesses) -> None:
     """Both the node that has the caller and the node that has the queue."""
     asked = queued(pair)
-    told_at = pair.tell_to_stop(0)
-    pair.tell_to_stop(1)
+    told_at = pair.send_sigterm(0)
+    pair.send_sigterm(1)
     assert_sent_back(asked, told_at)
 
 
-def test_a_node_that_stands_still_while_it_stops_sends_back_when_it_wakes(pair: Stopping) -> None:
+def test_a_node_that_stands_still_while_it_stops_sends_back_when_it_wakes(
+    pair: NodeProcesses,
+) -> None:
     """The pause of the process does not defer the time of its SIGKILL."""
     asked = queued(pair)
-    told_at = pair.tell_to_stop(0)
+    told_at = pair.send_sigterm(0)
     threading.Event().wait(2.0)
     pair.processes[0].send_signal(signal.SIGSTOP)
     threading.Event().wait(told_at + PAUSED_UNTIL_S - clock.now())
@@ -236,22 +238,22 @@
     assert asked.told_at < told_at + GRACE_S
 
 
-def test_a_node_that_still_starts_stops(single: Stopping) -> None:
+def test_a_node_that_still_starts_stops(single: NodeProcesses) -> None:
     """SIGTERM may come before the node listens for callers."""
     single.processes[0].kill()
     single.processes[0].wait()
     lines = len(single.log(0))
     single.processes[0] = single._start(single.ips[0])
     wait_until(lambda: len(single.log(0)) > lines, 10.0)
-    told_at = single.tell_to_stop(0)
+    told_at = single.send_sigterm(0)
     assert single.processes[0].wait(GRACE_S + 2.0) == 0
     assert clock.now() < told_at + GRACE_S - 1.0
 
 
-def test_other_signals_change_nothing_of_a_stop(single: Stopping) -> None:
+def test_other_signals_change_nothing_of_a_stop(single: NodeProcesses) -> None:
     """Neither a second SIGTERM or SIGINT nor a SIGHUP, which reloads the settings."""
     asked = single.ask_target(0, 0, "POST", 4.5, "runs")
-    single.tell_to_stop(0)
+    single.send_sigterm(0)
     for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGINT, signal.SIGTERM):
         threading.Event().wait(0.3)
         single.processes[0].send_signal(number)
--- a/tests/test_target.py
+++ b/tests/test_target.py
@@ -104,8 +104,8 @@
 def test_reuse(listener: socket.socket, answer: bytes, anew: bool) -> None:
     """A connection serves again unless the answer says otherwise."""
     fleet = Fleet(listener)
-    sock = fleet.kept(answer)
-    assert fleet.asks_anew() is anew
+    sock = fleet.idle_connection(answer)
+    assert fleet.opens_connection() is anew
     if anew:
         assert closed(sock)
 
@@ -114,9 +114,9 @@
     """An end that shows is heeded."""
     fleet = Fleet(listener)
     for end in (socket.socket.close, reset):
-        end(fleet.kept())
+        end(fleet.idle_connection())
         time.sleep(0.05)
-        assert fleet.asks_anew()
+        assert fleet.opens_connection()
         fleet.client.close()
         fleet.client._closed = False
 
@@ -127,38 +127,38 @@
     assert target.KEEP_ALIVE_MARGIN_S == 1.0
     fleet = Fleet(listener)
     monkeypatch.setattr(target, "IDLE_LIMIT_S", 0.05)
-    fleet.kept()
+    fleet.idle_connection()
     time.sleep(0.1)
-    assert fleet.asks_anew()
+    assert fleet.opens_connection()
     time.sleep(0.1)
     announced = OK + b"Keep-Alive: timeout=2\r\nContent-Length: 2\r\n\r\nhi"
-    sock = fleet.kept(announced)
+    sock = fleet.idle_connection(announced)
     time.sleep(0.5)
     future = fleet.ask()
     head_of(sock)
     sock.sendall(announced)
     assert future.result(5.0).answer.body == b"hi"
     time.sleep(1.05)
-    assert fleet.asks_anew()
+    assert fleet.opens_connection()
 
 
 def test_fresh(listener: socket.socket) -> None:
     """What must not repeat goes over a connection that was just used, else over a new one."""
     fleet = Fleet(listener)
-    sock = fleet.kept()
+    sock = fleet.idle_connection()
     future = fleet.ask(fresh=True)
     head_of(sock)
     sock.sendall(WHOLE)
     assert future.result(5.0).answer.body == b"hi"
     time.sleep(target.FRESH_IDLE_S + 0.1)
-    assert fleet.asks_anew(fresh=True)
+    assert fleet.opens_connection(fresh=True)
     sock.close()
 
 
 def test_a_target_that_forgets_connections_gets_fresher_ones(listener: socket.socket) -> None:
     """One lost over a connection that rested: others that rested are not trusted, for a while."""
     fleet = Fleet(listener)
-    sock = fleet.kept()
+    sock = fleet.idle_connection()
     time.sleep(target.FRESH_IDLE_S + 0.2)
     future = fleet.ask()
     head_of(sock)
@@ -176,7 +176,7 @@
 def test_one_lost_over_a_connection_just_used_is_no_sign_of_that(listener: socket.socket) -> None:
     """The target is failing, not forgetting."""
     fleet = Fleet(listener)
-    sock = fleet.kept()
+    sock = fleet.idle_connection()
     future = fleet.ask()
     head_of(sock)
     reset(sock)
@@ -207,17 +207,17 @@
 def test_closed_client_keeps_nothing(listener: socket.socket) -> None:
     """Neither what rested nor what was in use."""
     fleet = Fleet(listener)
-    resting = fleet.kept()
+    resting = fleet.idle_connection()
     fleet.client.close()
     assert closed(resting)
-    assert closed(fleet.kept())
+    assert closed(fleet.idle_connection())
 
 
 def test_kept_connection_reset_under_a_request(listener: socket.socket) -> None:
     """Without a byte of an answer it may have run all the same; nothing is repeated."""
     fleet = Fleet(listener)
     for end in (socket.socket.close, reset):
-        sock = fleet.kept()
+        sock = fleet.idle_connection()
         future = fleet.ask()
         head_of(sock)
         end(sock)
@@ -275,7 +275,7 @@
     head_of(sock)
     caller.far.send(b"more")
     time.sleep(0.05)
-    assert (caller.looks, future.done()) == (1, False)
+    assert (caller.checks, future.done()) == (1, False)
     left_at = clock.now()
     caller.far.close()
     with pytest.raises(CallerLeftError):
@@ -291,7 +291,7 @@
     caller.watchable = False
     caller.far.close()
     assert exchange(fleet, WHOLE, watch=caller).answer.body == b"hi"
-    assert caller.looks == 0
+    assert caller.checks == 0
 
 
 @pytest.mark.parametrize("drip", [True, False])
--- a/tests/test_target_connection.py
+++ b/tests/test_target_connection.py
@@ -119,7 +119,7 @@
     assert got == body
     sock.sendall(WHOLE)
     assert future.result(5.0).answer.body == b"hi"
-    assert not fleet.asks_anew()
+    assert not fleet.opens_connection()
 
 
 def test_short_request_is_one_write(listener: socket.socket) -> None:
@@ -145,7 +145,7 @@
         rest += part
     assert len(rest) < LONG
     assert set(rest) == {ord("z")}
-    assert fleet.asks_anew()
+    assert fleet.opens_connection()
 
 
 def test_early_answer_and_close(listener: socket.socket) -> None:
@@ -290,7 +290,7 @@
     first = b"HTTP/1.1 204 No Content\r\n\r\n" if method == "GET" else WHOLE[:-2]
     sock.sendall(first)
     assert future.result(5.0).answer.body == b""
-    assert not fleet.asks_anew()
+    assert not fleet.opens_connection()
 
 
 def test_end_by_close(listener: socket.socket) -> None:
@@ -366,7 +366,7 @@
 def test_late_surplus_answer(listener: socket.socket, together: bool) -> None:
     """On a kept connection it is passed over for the own one; then the connection ends."""
     fleet = Fleet(listener, PLAIN)
-    sock = fleet.kept(OK + b"X-Id: r1\r\nContent-Length: 2\r\n\r\nhi")
+    sock = fleet.idle_connection(OK + b"X-Id: r1\r\nContent-Length: 2\r\n\r\nhi")
     future = fleet.ask(request_id="r2")
     head_of(sock)
     surplus = OK + b"X-Id: r1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nbad\r\n0\r\n\r\n"
@@ -378,13 +378,13 @@
         time.sleep(0.02)
     assert future.result(5.0).answer.body == b"own"
     assert closed(sock)
-    assert fleet.asks_anew()
+    assert fleet.opens_connection()
 
 
 def test_only_a_surplus_answer(listener: socket.socket) -> None:
     """It is never taken for the own one, which is waited for no longer than the deadline."""
     fleet = Fleet(listener, PLAIN)
-    sock = fleet.kept(OK + b"X-Id: r1\r\nContent-Length: 2\r\n\r\nhi")
+    sock = fleet.idle_connection(OK + b"X-Id: r1\r\nContent-Length: 2\r\n\r\nhi")
     future = fleet.ask(request_id="r2", timeout_s=0.2)
     head_of(sock)
     sock.sendall(OK + b"X-Id: r1\r\nContent-Length: 2\r\n\r\nhi")
@@ -397,11 +397,11 @@
 def test_surplus_bytes(listener: socket.socket, late: bool) -> None:
     """Whatever follows an answer ends the connection."""
     fleet = Fleet(listener)
-    sock = fleet.kept(WHOLE if late else WHOLE + b"H")
+    sock = fleet.idle_connection(WHOLE if late else WHOLE + b"H")
     if late:
         sock.sendall(b"H")
         time.sleep(0.05)
-    assert fleet.asks_anew()
+    assert fleet.opens_connection()
     assert closed(sock)
 
 
