--- a/tests/crowd.py
+++ b/tests/crowd.py
@@ -29,20 +29,20 @@
 from roadpass.source import PublishedConfig, PublishedService, TargetEntry
 from roadpass.view import PeerNode, View
 from tests.crowd_target import CrowdClient, CrowdTarget
-from tests.load import Kind, Load, Told
+from tests.load import Kind, Load, RequestResult
 from tests.machine_model import PLACES
-from tests.virtual import Process, Swap, World, stand_ins
+from tests.virtual import Process, Swap, World, virtual_modules
 
 PORT = 7000
 TICK_S = 0.1
 """Seconds between scans of a node for requests that its target has run for long."""
-NEAR_TOLD = 3
+GOSSIP_NEAR_PEERS = 3
 """Nodes of its own data hall to which a node sends each update; one of any hall gets it too."""
 FIRST_S = 100.0
 """Virtual time of the first request, in seconds."""
 
 
-class _Word(NamedTuple):
+class _Frame(NamedTuple):
     message: Message
 
 
@@ -52,21 +52,21 @@
     idle_since = 0.0
     peer_incarnation = 1
 
-    def __init__(self, crowd: "Crowd", node: "CrowdNode", way_s: float) -> None:
+    def __init__(self, crowd: "Crowd", node: "CrowdNode", one_way_s: float) -> None:
         self.carried = 0
         self._crowd = crowd
         self._node = node
-        self._way_s = way_s
+        self._one_way_s = one_way_s
         self._message: Message = {}
 
     def send(self, message: Message, **_: Any) -> None:
         self._message = message
 
-    def receive(self, *_: Any, **__: Any) -> _Word:
-        self._crowd.sleep(self._way_s)
+    def receive(self, *_: Any, **__: Any) -> _Frame:
+        self._crowd.sleep(self._one_way_s)
         reply = self._node.sidecar.answer(self._message, 0.0)
-        self._crowd.sleep(self._way_s)
-        return _Word(reply)
+        self._crowd.sleep(self._one_way_s)
+        return _Frame(reply)
 
     def close(self) -> None:
         """Do nothing: the stream holds no resources."""
@@ -81,10 +81,10 @@
 
     def acquire(self, address: Address, **_: Any) -> _Stream:
         peer = self._crowd.nodes.get(address[0])
-        if peer is None or not self._crowd.hears(self._node, peer):
+        if peer is None or not self._crowd.reaches(self._node, peer):
             raise ConnectError("No such node.")
-        way_s = 0.0014 if peer.hall != self._node.hall else 0.0002
-        return _Stream(self._crowd, peer, way_s)
+        one_way_s = 0.0014 if peer.hall != self._node.hall else 0.0002
+        return _Stream(self._crowd, peer, one_way_s)
 
     def exchange(self, address: Address, message: Message, **_: Any) -> Message:
         stream = self.acquire(address)
@@ -113,8 +113,8 @@
             self.sidecar = Sidecar(
                 vm, 1, self.pause, pull=lambda message: message, behind=lambda vm, revision: None
             )
-            self.has_news = False
-            self.sidecar.quarantine.on_news = self._note_news
+            self.has_updates = False
+            self.sidecar.quarantine.on_news = self._set_has_updates
             self.view = View(vm, hall, "region")
             self.configure(fleet)
             self.view.ready = True
@@ -140,13 +140,13 @@
         """The sidecar's state of its target."""
         return self.sidecar.targets[self.target.name]
 
-    def dispatch(self, kind: str, deadline: float, *, of_a_repeat: bool = False) -> Outcome:
-        """Dispatch one request; `of_a_repeat` if a repeated request calls it."""
+    def dispatch(self, kind: str, deadline: float, *, called_by_repeat: bool = False) -> Outcome:
+        """Dispatch one request; `called_by_repeat` if a repeated request calls it."""
         one = self._crowd.load.kinds[kind]
         method = "GET" if one.repeatable else "POST"
         name = self._crowd.next_id()
-        if of_a_repeat:
-            self._crowd.of_repeats.add(name)
+        if called_by_repeat:
+            self._crowd.called_by_repeats.add(name)
         path = f"/{one.route or kind}/{one.path or name}"
         self._crowd.names[path, one.body] = kind
         request = Request(
@@ -162,8 +162,8 @@
         )
         return self._dispatcher.dispatch(request).outcome
 
-    def _note_news(self) -> None:
-        self.has_news = True
+    def _set_has_updates(self) -> None:
+        self.has_updates = True
 
     def tick(self) -> None:
         """Do the work of the node's periodic tasks."""
@@ -176,9 +176,9 @@
     """One simulation of a load; use `run`.
 
     Attributes:
-        told: Results of the callers' requests, in order of completion.
+        results: Results of the callers' requests, in order of completion.
         arrivals: Times at which each request reached a target, by service and id.
-        of_repeats: Ids of requests that targets sent while they ran a repeated request.
+        called_by_repeats: Ids of requests that targets sent while they ran a repeated request.
         reached: Times at which requests with a path and body were sent to a target, whatever
             their ids.
         names: Names of the kinds of requests, by path and body.
@@ -191,9 +191,9 @@
         self.gossip_rng = random.Random(seed)
         self.world = World()
         self.world.now = FIRST_S
-        self.told: list[Told] = []
+        self.results: list[RequestResult] = []
         self.arrivals: dict[tuple[str, str], list[float]] = defaultdict(list)
-        self.of_repeats: set[str] = set()
+        self.called_by_repeats: set[str] = set()
         self.reached: dict[tuple[str, bytes], list[float]] = defaultdict(list)
         self.crashed: dict[tuple[str, bytes], list[float]] = defaultdict(list)
         self.names: dict[tuple[str, bytes], str] = {}
@@ -205,7 +205,7 @@
         """Simulate a load to its end."""
         crowd = cls(load, seed)
         places = {module: names for module, names in PLACES.items() if "socket" not in names}
-        swap = Swap(places, stand_ins(crowd.world))
+        swap = Swap(places, virtual_modules(crowd.world))
         try:
             crowd._build()
             crowd._play()
@@ -220,13 +220,13 @@
         """Return the share of the callers' requests that had a result.
 
         Args:
-            result: A value of `Told.result`.
+            result: A value of `RequestResult.result`.
             kinds: Kinds of requests to count; all by default.
             between: Only requests sent in this interval, in seconds since the first request.
         """
         chosen = set(kinds) or set(self.load.kinds)
         begin, end = between
-        asked = [one for one in self.told if one.kind in chosen and begin <= one.at < end]
+        asked = [one for one in self.results if one.kind in chosen and begin <= one.at < end]
         return sum(one.result == result for one in asked) / len(asked)
 
     def repeats_over(self, service: str, ratio: float, slack: float, window_s: float) -> float:
@@ -240,7 +240,7 @@
         for (to, name), times in self.arrivals.items():
             if to == service:
                 firsts.append(times[0])
-                repeats += times if name in self.of_repeats else times[1:]
+                repeats += times if name in self.called_by_repeats else times[1:]
         over = -math.inf
         for begin in repeats:
             count = sum(begin <= at < begin + window_s for at in repeats)
@@ -269,10 +269,10 @@
         """Return the kind of a request by its path and body."""
         return self.load.kinds[self.names[path, body]]
 
-    def trouble_of(self, target: CrowdTarget) -> str:
+    def draw_fault(self, target: CrowdTarget) -> str:
         """Draw the fault for a request that reaches a target now, empty if it runs normally."""
         now = self.world.now - FIRST_S
-        for one in self.load.troubles:
+        for one in self.load.faults:
             hit = target.name in one.targets or (not one.targets and one.service == target.service)
             if hit and one.begin <= now < one.end and self.rng.random() < one.share:
                 return one.how
@@ -299,9 +299,9 @@
 
     def _play(self) -> None:
         nodes = list(self.nodes.values())
-        comings = sorted(self._comings())
+        scheduled = sorted(self._scheduled_requests())
         next_tick = FIRST_S
-        for at, name in comings:
+        for at, name in scheduled:
             while next_tick <= at:
                 self._advance_to(next_tick)
                 next_tick += TICK_S
@@ -315,19 +315,19 @@
     def _advance_to(self, at: float) -> None:
         self.world.advance(at - self.world.now, lambda: None)
         if any(self.load.crash_records_lost):
-            self._forget()
+            self._clear_crash_records()
         for node in self.nodes.values():
             if node.target.is_due(self.world.now):
                 self.restart(node.target)
             node.tick()
             self._gossip(node)
 
-    def hears(self, node: CrowdNode, peer: CrowdNode) -> bool:
+    def reaches(self, node: CrowdNode, peer: CrowdNode) -> bool:
         """Return whether two nodes can reach each other now."""
         begin, end = self.load.partition
         return node.hall == peer.hall or not begin <= self.world.now - FIRST_S < end
 
-    def _forget(self) -> None:
+    def _clear_crash_records(self) -> None:
         """Clear the crash records of the nodes that are due for it now."""
         begin, end = self.load.crash_records_lost
         nodes = list(self.nodes.values())
@@ -339,20 +339,20 @@
 
     def _gossip(self, node: CrowdNode) -> None:
         """Send a node's crash records to a few other nodes, as gossip does."""
-        if not node.has_news and self.gossip_rng.random() > TICK_S:
+        if not node.has_updates and self.gossip_rng.random() > TICK_S:
             return
-        node.has_news = False
+        node.has_updates = False
         now = self.world.now
         near = [one for one in self.nodes.values() if one.hall == node.hall and one is not node]
-        peers = self.gossip_rng.sample(near, min(NEAR_TOLD, len(near)))
+        peers = self.gossip_rng.sample(near, min(GOSSIP_NEAR_PEERS, len(near)))
         for peer in (*peers, self.gossip_rng.choice(list(self.nodes.values()))):
-            if not self.hears(node, peer):
+            if not self.reaches(node, peer):
                 continue
             for row in node.sidecar.quarantine.rows(now):
                 with self.world.acting(peer.process):
                     peer.sidecar.quarantine.hear(now, row)
 
-    def _comings(self) -> Iterable[tuple[float, str]]:
+    def _scheduled_requests(self) -> Iterable[tuple[float, str]]:
         for name, kind in self.load.kinds.items():
             at = FIRST_S
             while kind.per_s and (at := at + self.rng.expovariate(kind.per_s)) < self._end:
@@ -368,12 +368,12 @@
             if one.beside == name:
                 self._send(node, other)
 
-        def see_to_it() -> None:
+        def dispatch_and_record() -> None:
             outcome = node.dispatch(name, at + kind.timeout_ms / 1000.0)
             took_ms = (self.world.now - at) * 1000.0
-            self.told.append(Told(name, at - FIRST_S, took_ms, outcome))
+            self.results.append(RequestResult(name, at - FIRST_S, took_ms, outcome))
 
-        self.world.spawn(node.process, see_to_it)
+        self.world.spawn(node.process, dispatch_and_record)
 
 
 def _fleet(load: Load, starts: dict[str, int]) -> Fleet:
--- a/tests/crowd_target.py
+++ b/tests/crowd_target.py
@@ -76,7 +76,7 @@
         if self.gone():
             raise TargetRefusedError("No connection.") from ConnectionRefusedError()
         crowd.arrivals[self._target.service, options["request_id"]].append(crowd.world.now)
-        match crowd.trouble_of(self._target):
+        match crowd.draw_fault(self._target):
             case "reset":
                 crowd.sleep(RESET_S)
                 raise TargetLostError("The connection was reset.")
@@ -88,11 +88,11 @@
             case "hang":
                 crowd.sleep(options["timeout_s"])
                 raise TargetTimeoutError("No answer in time.")
-        again = len(crowd.arrivals[self._target.service, options["request_id"]]) > 1
+        repeated = len(crowd.arrivals[self._target.service, options["request_id"]]) > 1
         if crowd.kind_of(path, body).fails:
             crowd.sleep(FAIL_S)
             return TargetAnswer(Answered(500, [], b"", 1.0), False, "", None)
-        status = self._work(path, body, until, again=again)
+        status = self._work(path, body, until, repeated=repeated)
         if self.gone():
             raise TargetLostError("The connection ended.")
         if status is None:
@@ -105,15 +105,15 @@
     def cancel(self, attempt_id: str) -> bool:
         return False
 
-    def _work(self, path: str, body: bytes, until: float, *, again: bool) -> int | None:
+    def _work(self, path: str, body: bytes, until: float, *, repeated: bool) -> int | None:
         """Take a slot, work and make the nested call; return the status, `None` on a timeout."""
         crowd, target = self._crowd, self._target
         kind = crowd.kind_of(path, body)
         ticket = object()
         target.queue.append(ticket)
-        taken = self._wait(lambda: target.may_run(ticket), until)
+        granted = self._wait(lambda: target.may_run(ticket), until)
         target.queue.remove(ticket)
-        if not taken or self.gone():
+        if not granted or self.gone():
             return None
         target.running += 1
         try:
@@ -122,7 +122,7 @@
                 crowd.crashed[path, body].append(crowd.world.now)
                 target.crash(crowd.world.now)
             if kind.call and crowd.rng.random() < kind.call_share:
-                outcome = self._node.dispatch(kind.call, until, of_a_repeat=again)
+                outcome = self._node.dispatch(kind.call, until, called_by_repeat=repeated)
                 if not (isinstance(outcome, Answered) and outcome.status == 200):
                     return 500
             return 200 if crowd.world.now < until else None
--- a/tests/fake_sidecar.py
+++ b/tests/fake_sidecar.py
@@ -37,8 +37,8 @@
     def run(self, attempt: Attempt, age_s: float = 0.0, watch: CallerWatch | None = None) -> Reply:
         self.attempts.append(attempt)
         refused = NotRun(Reason.QUEUE_FULL)
-        word = self.script.pop(0) if self.script else refused
-        return word if isinstance(word, Reply) else Reply(word, self.load)
+        scripted = self.script.pop(0) if self.script else refused
+        return scripted if isinstance(scripted, Reply) else Reply(scripted, self.load)
 
     def fence_key(self, key: str, token: str) -> Verdict:
         return self.verdict
--- a/tests/gray_target.py
+++ b/tests/gray_target.py
@@ -22,7 +22,7 @@
 """Limit of targets to which one repeatable request is sent."""
 
 
-class Mood(StrEnum):
+class TargetMode(StrEnum):
     """What a target does with the requests that it receives."""
 
     RUN = "run"
@@ -36,7 +36,7 @@
 
 
 @dataclass
-class Sent:
+class SentRequest:
     """One request of a caller.
 
     Attributes:
@@ -44,7 +44,7 @@
         at: Virtual time at which it was sent.
         arrived: Targets that received it, in order.
         runs: How often it ran.
-        told: Outcome that the caller received, `None` until then.
+        outcome: Outcome that the caller received, `None` until then.
         ran_attempts: How often each of its attempts ran.
     """
 
@@ -56,7 +56,7 @@
     key: str = ""
     arrived: list[str] = field(default_factory=list)
     runs: int = 0
-    told: Outcome | None = None
+    outcome: Outcome | None = None
     ran_attempts: Counter[str] = field(default_factory=Counter)
 
 
@@ -64,7 +64,7 @@
     """Records what was sent, what ran and what callers were told; checks the guarantees."""
 
     def __init__(self) -> None:
-        self.sent: dict[str, Sent] = {}
+        self.sent: dict[str, SentRequest] = {}
 
     def run(self, request_id: str, attempt_id: str) -> None:
         """Record that a target ran an attempt."""
@@ -82,7 +82,7 @@
             else:
                 assert runs[one.work] <= 1, f"{one.work} ran {runs[one.work]} times"
             assert all(count == 1 for count in one.ran_attempts.values()), one.ran_attempts
-            match one.told:
+            match one.outcome:
                 case NotRun(reason=reason):
                     assert one.runs == 0, f"{one.id} was reported as not run ({reason}), but it ran"
                 case Answered(body=body):
@@ -110,12 +110,12 @@
 
 
 @dataclass
-class Arrival:
+class ReceivedAttempt:
     """An attempt that a target has received; it may run even if nobody waits for it any more."""
 
     request_id: str
     attempt_id: str
-    ended: Mood | None = None
+    ended: TargetMode | None = None
     cancelled: bool = False
 
 
@@ -124,23 +124,23 @@
 
     def __init__(self, name: str, ledger: Ledger) -> None:
         self.name = name
-        self.mood = Mood.RUN
-        self.held: list[Arrival] = []
+        self.mode = TargetMode.RUN
+        self.held: list[ReceivedAttempt] = []
         self._ledger = ledger
 
-    def take(self, arrival: Arrival) -> None:
+    def take(self, arrival: ReceivedAttempt) -> None:
         """Receive a request and treat it according to the mood."""
-        if self.mood is not Mood.SHED:
+        if self.mode is not TargetMode.SHED:
             self._ledger.sent[arrival.request_id].arrived.append(self.name)
-        if self.mood is Mood.HANG:
+        if self.mode is TargetMode.HANG:
             self.held.append(arrival)
         else:
-            self.end(arrival, self.mood)
+            self.end(arrival, self.mode)
 
-    def end(self, arrival: Arrival, how: Mood) -> None:
+    def end(self, arrival: ReceivedAttempt, how: TargetMode) -> None:
         """End a request: run it or lose it."""
         arrival.ended = how
-        if how in (Mood.RUN, Mood.FAIL, Mood.GARBLE, Mood.LOSE_AFTER):
+        if how in (TargetMode.RUN, TargetMode.FAIL, TargetMode.GARBLE, TargetMode.LOSE_AFTER):
             self._ledger.run(arrival.request_id, arrival.attempt_id)
 
 
@@ -150,7 +150,7 @@
     def __init__(self, world: World, target: ModelTarget) -> None:
         self._world = world
         self._target = target
-        self._running: dict[str, Arrival] = {}
+        self._running: dict[str, ReceivedAttempt] = {}
 
     def send(
         self,
@@ -164,9 +164,9 @@
         customer: str = "",
         watch: CallerWatch | None = None,
     ) -> TargetAnswer:
-        if self._target.mood is Mood.REFUSE:
+        if self._target.mode is TargetMode.REFUSE:
             raise TargetRefusedError("The target refuses connections.")
-        arrival = Arrival(request_id, attempt_id)
+        arrival = ReceivedAttempt(request_id, attempt_id)
         self._running[attempt_id] = arrival
         self._target.take(arrival)
 
@@ -191,16 +191,16 @@
         return True
 
 
-def _answer(arrival: Arrival, over: bool) -> TargetAnswer:
+def _answer(arrival: ReceivedAttempt, over: bool) -> TargetAnswer:
     body = arrival.request_id.encode()
     match arrival.ended:
-        case Mood.RUN:
+        case TargetMode.RUN:
             return TargetAnswer(Answered(200, [], body, 1.0), False, "", None)
-        case Mood.FAIL:
+        case TargetMode.FAIL:
             return TargetAnswer(Answered(500, [], body, 1.0), False, "", None)
-        case Mood.SHED:
+        case TargetMode.SHED:
             return TargetAnswer(Answered(503, [], b"", 1.0), True, "", None)
-        case Mood.GARBLE:
+        case TargetMode.GARBLE:
             raise TargetGarbledError("The response is malformed.")
         case None if over:
             raise CallerLeftError("The caller left or the attempt was cancelled.")
--- a/tests/load.py
+++ b/tests/load.py
@@ -44,7 +44,7 @@
     beside: str = ""
 
 
-class Trouble(NamedTuple):
+class TargetFault(NamedTuple):
     """A fault that targets show for a time.
 
     Args:
@@ -72,7 +72,7 @@
         targets: Number of targets by service; each has a node on its VM.
         slots: Slots of each target.
         seconds: Seconds during which requests arrive.
-        troubles: Faults of the targets.
+        faults: Faults of the targets.
         slack: Repeats allowed per service in ten seconds, beyond a fifth of its requests.
         halls: Data halls over which the targets are spread.
         partition: Begin and end, in seconds, of a partition between all data halls.
@@ -84,14 +84,14 @@
     targets: dict[str, int]
     slots: int = 3
     seconds: float = 20.0
-    troubles: tuple[Trouble, ...] = ()
+    faults: tuple[TargetFault, ...] = ()
     slack: float = 60.0
     halls: int = 1
     partition: tuple[float, float] = (0.0, 0.0)
     crash_records_lost: tuple[float, float] = (0.0, 0.0)
 
 
-class Told(NamedTuple):
+class RequestResult(NamedTuple):
     """The result of one request of a caller."""
 
     kind: str
--- a/tests/loads.py
+++ b/tests/loads.py
@@ -7,7 +7,7 @@
 
 import random
 
-from tests.load import Kind, Load, Trouble
+from tests.load import Kind, Load, TargetFault
 
 LAB_KINDS = {
     "browse": Kind("shop", 220.0, 800, 1500, True, 8.5),
@@ -35,7 +35,7 @@
 """
 
 
-def losses_in_moments(seed: int) -> Load:
+def repeated_outages(seed: int) -> Load:
     """Half the targets of a small service lose most of their requests, in repeated short outages.
 
     On the users' day of high load on 21 VMs, targets of the desk service were replaced, cut off and
@@ -44,12 +44,12 @@
     in ten seconds and used 19. Here three of six targets have an outage of 1.5 s every 3 s.
     """
     rng = random.Random(seed)
-    spells = [
-        Trouble(at, at + 1.5, LOST_SHARE, "reset", targets=frozenset({f"desk-{number}"}))
+    outages = [
+        TargetFault(at, at + 1.5, LOST_SHARE, "reset", targets=frozenset({f"desk-{number}"}))
         for at in (2.0, 5.0, 8.0, 11.0)
         for number in rng.sample(range(TARGETS["desk"]), 3)
     ]
-    return Load(KINDS, TARGETS, seconds=13.0, troubles=tuple(spells), slack=SLACK, halls=5)
+    return Load(KINDS, TARGETS, seconds=13.0, faults=tuple(outages), slack=SLACK, halls=5)
 
 
 def shed_by_all(seed: int) -> Load:
@@ -60,10 +60,10 @@
     served by their first target, and 45% of those for which there is a repeat by their second.
     """
     del seed
-    shed = Trouble(4.0, 12.0, 0.55, "shed", service="opac")
+    shed = TargetFault(4.0, 12.0, 0.55, "shed", service="opac")
     holds = KINDS["hold"]._replace(per_s=30.7)
     kinds = {**KINDS, "hold": holds}
-    return Load(kinds, TARGETS, seconds=13.0, troubles=(shed,), slack=SLACK, halls=5)
+    return Load(kinds, TARGETS, seconds=13.0, faults=(shed,), slack=SLACK, halls=5)
 
 
 def shed_by_some(seed: int) -> Load:
@@ -74,11 +74,11 @@
     """
     del seed
     full = frozenset(f"opac-{number}" for number in (0, 3, 6, 9, 12))
-    shed = Trouble(4.0, 12.0, 0.95, "shed", targets=full)
-    return Load(KINDS, TARGETS, seconds=13.0, troubles=(shed,), slack=SLACK, halls=5)
+    shed = TargetFault(4.0, 12.0, 0.95, "shed", targets=full)
+    return Load(KINDS, TARGETS, seconds=13.0, faults=(shed,), slack=SLACK, halls=5)
 
 
-def called_sheds(seed: int, *, per_s: float = 16.5, call_share: float = 0.7) -> Load:
+def callee_sheds(seed: int, *, per_s: float = 16.5, call_share: float = 0.7) -> Load:
     """The called service sheds while the calling service's targets reset: both are retried.
 
     On the registry's fleet, with the called service shedding 60% and two of five targets of the
@@ -88,15 +88,15 @@
     """
     rng = random.Random(seed)
     lossy = frozenset(f"opac-{number}" for number in rng.sample(range(TARGETS["opac"]), 6))
-    troubles = (
-        Trouble(3.0, 12.0, 0.6, "shed", service="desk"),
-        Trouble(3.0, 12.0, 0.5, "reset", targets=lossy),
+    faults = (
+        TargetFault(3.0, 12.0, 0.6, "shed", service="desk"),
+        TargetFault(3.0, 12.0, 0.5, "reset", targets=lossy),
     )
     kinds = {**KINDS, "search": KINDS["search"]._replace(per_s=per_s, call_share=call_share)}
-    return Load(kinds, TARGETS, seconds=13.0, troubles=troubles, slack=SLACK, halls=5)
+    return Load(kinds, TARGETS, seconds=13.0, faults=faults, slack=SLACK, halls=5)
 
 
-def failing_at_once(seed: int, *, usual: float = 0.012, share: float = 0.3) -> Load:
+def fast_failures(seed: int, *, baseline: float = 0.012, share: float = 0.3) -> Load:
     """Three of ten targets fail most of their requests at once, for seconds at a time.
 
     On the users' library deployment, outages come about every nine seconds and fail 85% of the
@@ -106,15 +106,19 @@
     """
     rng = random.Random(seed)
     names = [f"{service}-{n}" for service, count in TARGETS.items() for n in range(count)]
-    spells = []
+    outages = []
     for name in rng.sample(names, round(share * len(names))):
         at = rng.uniform(0.0, 9.0)
         while at < 13.0:
             end = at + rng.uniform(3.0, 6.0)
-            spells.append(Trouble(at, end, LOST_SHARE, "fail", targets=frozenset({name})))
+            outages.append(TargetFault(at, end, LOST_SHARE, "fail", targets=frozenset({name})))
             at = end + rng.expovariate(1.0 / 9.0)
-    usually = [Trouble(0.0, 13.0, usual, "fail", service=service) for service in TARGETS]
-    return Load(KINDS, TARGETS, seconds=13.0, troubles=(*spells, *usually), slack=SLACK, halls=5)
+    baseline_faults = [
+        TargetFault(0.0, 13.0, baseline, "fail", service=service) for service in TARGETS
+    ]
+    return Load(
+        KINDS, TARGETS, seconds=13.0, faults=(*outages, *baseline_faults), slack=SLACK, halls=5
+    )
 
 
 def failing_kind(seed: int) -> Load:
--- a/tests/machine_model.py
+++ b/tests/machine_model.py
@@ -25,8 +25,16 @@
 from roadpass.request import Request
 from roadpass.settings import Ports, Settings
 from roadpass.view import PeerNode, View
-from tests.gray_target import MAX_ATTEMPTS, Ledger, ModelClient, ModelTarget, Mood, Sent, Watch
-from tests.virtual import Connection, Hold, Pipe, Process, Swap, World, stand_ins
+from tests.gray_target import (
+    MAX_ATTEMPTS,
+    Ledger,
+    ModelClient,
+    ModelTarget,
+    SentRequest,
+    TargetMode,
+    Watch,
+)
+from tests.virtual import Connection, Hold, Pipe, Process, Swap, World, virtual_modules
 
 PLACES: dict[ModuleType, tuple[str, ...]] = {
     choice: ("clock", "time"),
@@ -48,9 +56,9 @@
 """Repeats allowed per request: so many that the budget never prevents a wrong retry."""
 PORT = 7000
 KEYS = (b"k" * 16,)
-OFFSET_S = 1000.0
+CLOCK_OFFSET_S = 1000.0
 """Clock difference between one VM and the next, in seconds."""
-AGED_S = 200.0
+FLEET_AGE_S = 200.0
 """Age of the fleet at the start: sidecars vouch for keys only once they are 180 s old."""
 WINDOW_S = 170.0
 """Seconds within which a repeat with a key must reach dispatch to be covered by the guarantee.
@@ -81,7 +89,7 @@
     return Fleet({"s": service}, made.targets, routes, (), revision=1, digest="d")
 
 
-class _OneTurn(threading.Event):
+class _StopAfterOneCheck(threading.Event):
     """Stop event that lets the loop of the pause watch run once."""
 
     def __init__(self) -> None:
@@ -99,8 +107,8 @@
     def __init__(self, world: World, vm: str, incarnation: int, targets: list[ModelTarget]) -> None:
         self.vm = vm
         self.incarnation = incarnation
-        self.process = Process(vm, OFFSET_S * VMS.index(vm))
-        self.stood_still = False
+        self.process = Process(vm, CLOCK_OFFSET_S * VMS.index(vm))
+        self.was_frozen = False
         self._world = world
         with world.acting(self.process):
             self._build(targets)
@@ -138,16 +146,16 @@
         if self.process.frozen:
             return
         with self._world.acting(self.process):
-            if self.stood_still:
-                self.pause._stopped = _OneTurn()
+            if self.was_frozen:
+                self.pause._stopped = _StopAfterOneCheck()
                 self.pause._run()
-            self.stood_still = False
+            self.was_frozen = False
             self.pause._last_tick = self._world.now + self.process.offset
             self.sidecar.expire()
 
     def freeze(self) -> None:
         """Freeze the process; its kernel still accepts bytes and connections."""
-        self.process.frozen = self.stood_still = True
+        self.process.frozen = self.was_frozen = True
 
     def wake(self, ticker_first: bool) -> None:
         """Resume the process; its periodic tasks run before or after its other threads."""
@@ -172,20 +180,22 @@
 
     def __init__(self) -> None:
         self.world = World()
-        self._swap = Swap(PLACES, stand_ins(self.world))
+        self._swap = Swap(PLACES, virtual_modules(self.world))
         self.ledger = Ledger()
         self.targets = [ModelTarget(name, self.ledger) for name in TARGETS]
         self.nodes = [Node(self.world, vm, 1, self.targets) for vm in VMS]
         self.watches: dict[str, Watch] = {}
-        self.advance(AGED_S)
+        self.advance(FLEET_AGE_S)
 
-    def send(self, vm: int, method: str, key: str, first: Sent | None, hold: Hold) -> Sent:
+    def send(
+        self, vm: int, method: str, key: str, first: SentRequest | None, hold: Hold
+    ) -> SentRequest:
         """Send a caller's request, as a declared repeat of `first` if that is given."""
         node = self.nodes[vm]
         name = f"request-{len(self.ledger.sent)}"
         work = first.work if first is not None else name
         at = first.at if first is not None else self.world.now
-        one = Sent(name, work, method == "GET", node.process, at, key)
+        one = SentRequest(name, work, method == "GET", node.process, at, key)
         self.ledger.sent[name] = one
         watch = self.watches[name] = Watch(self.world)
         request = Request(
@@ -195,7 +205,7 @@
         def dispatch_it() -> None:
             if self.world.now - at > WINDOW_S:
                 one.work = name
-            one.told = node.dispatcher.dispatch(request).outcome
+            one.outcome = node.dispatcher.dispatch(request).outcome
 
         self.world.spawn(node.process, dispatch_it)
         self.world.settle(hold)
@@ -225,11 +235,11 @@
     def reset(self, connection: Connection, up: int | None, down: int | None) -> None:
         """Reset a connection for its server (`up`) or client (`down`), after so many bytes each."""
         if up is not None:
-            connection.up.break_off(up)
+            connection.up.abort(up)
         if down is not None:
-            connection.down.break_off(down)
+            connection.down.abort(down)
 
-    def mend(self) -> None:
+    def clear_faults(self) -> None:
         """Undo all delays, cuts and freezes."""
         self.world.cut.clear()
         for pipe in self.world.pipes():
@@ -252,17 +262,17 @@
         newest = next(reversed(self.ledger.sent.values()), None)
         return [TARGETS[name] for name in newest.arrived] if newest is not None else []
 
-    def end_all(self) -> None:
+    def run_all_held(self) -> None:
         """Make every target run the requests that it holds and all later ones."""
         for target in self.targets:
-            target.mood = Mood.RUN
+            target.mode = TargetMode.RUN
             while target.held:
-                target.end(target.held.pop(), Mood.RUN)
+                target.end(target.held.pop(), TargetMode.RUN)
 
-    def unanswered(self) -> list[Sent]:
+    def unanswered(self) -> list[SentRequest]:
         """Return the requests without an outcome whose ingress process is alive."""
         return [
-            one for one in self.ledger.sent.values() if one.told is None and not one.process.dead
+            one for one in self.ledger.sent.values() if one.outcome is None and not one.process.dead
         ]
 
     def close(self) -> None:
--- a/tests/naive.py
+++ b/tests/naive.py
@@ -34,16 +34,16 @@
     instant: datetime,
 ) -> list[set[str]]:
     """Return the groups of target names, as the documentation defines them."""
-    speaking = [
+    applicable = [
         s
         for s in selectors
         if s.service in (None, service)
         and all(labels.get(k) in v or ("*" in v and k in labels) for k, v in s.routes.items())
     ]
-    if not speaking:
+    if not applicable:
         return [{t.name for t in targets}] if targets else []
     groups: list[set[str]] = []
-    for rule in speaking:
+    for rule in applicable:
         if rule.windows and not any(in_window(w, instant) for w in rule.windows):
             continue
         used = set().union(*groups)
@@ -144,10 +144,11 @@
 ALL_DAYS = frozenset(range(len(DAYS)))
 
 
-def cusum(outcomes: Sequence[bool], base: float, sick: float) -> float:
+def cusum(outcomes: Sequence[bool], base: float, faulty: float) -> float:
     """Return the largest log-likelihood ratio over all suffixes; the real one has a cap."""
     steps = [
-        math.log(sick / base) if bad else math.log((1.0 - sick) / (1.0 - base)) for bad in outcomes
+        math.log(faulty / base) if bad else math.log((1.0 - faulty) / (1.0 - base))
+        for bad in outcomes
     ]
     return max(sum(steps[n:]) for n in range(len(steps) + 1))
 
--- a/tests/quota_model.py
+++ b/tests/quota_model.py
@@ -18,9 +18,9 @@
 
 TICK_S = 0.1
 """Seconds between a node's checks for reports to send."""
-WAY_S = 0.01
+MAX_DELAY_S = 0.01
 """Maximum delay of a datagram in seconds, with the time until it is read."""
-DEAD_S = 4.0
+DEAD_AFTER_S = 4.0
 """Seconds until an unreachable node is considered dead."""
 CUSTOMER = "library"
 
@@ -50,7 +50,7 @@
     seconds: float = 30.0
 
     @property
-    def kept(self) -> Limit:
+    def enforced(self) -> Limit:
         """The limit that the gates enforce, with its tolerance."""
         return Terms(5.0, 0.25, 20.0).limit(self.limit.rate_per_s, self.limit.burst)
 
@@ -85,7 +85,7 @@
             fleet._at(fleet._rng.uniform(0.0, TICK_S), partial(fleet._tick, node))
         for at, node in play.restarts:
             fleet._at(at, partial(fleet._restart, node))
-        fleet._at(0.0, fleet._come)
+        fleet._at(0.0, fleet._arrive)
         while fleet._events:
             at, _, action = heapq.heappop(fleet._events)
             if at > play.seconds:
@@ -110,45 +110,47 @@
     def wrongly_refused(self) -> float:
         """Return the share of the requests admissible with perfect knowledge that were refused."""
         rate, level, *_ = self.play.limit
-        last, owed, admitted = 0.0, 0, 0
+        last, admissible, admitted = 0.0, 0, 0
         for one in self._requests:
             level = min(self.play.limit.burst, level + (one.at - last) * rate)
             last = one.at
             admitted += one.admitted
             if level >= 1.0:
                 level -= 1.0
-                owed += 1
-        return max(0.0, 1.0 - admitted / owed) if owed else 0.0
+                admissible += 1
+        return max(0.0, 1.0 - admitted / admissible) if admissible else 0.0
 
     def _at(self, at: float, action: Callable[[float], None]) -> None:
         heapq.heappush(self._events, (at, next(self._numbers), action))
 
-    def _come(self, now: float) -> None:
+    def _arrive(self, now: float) -> None:
         per_s = self.play.per_s(now)
         if self._requests or per_s:
             weights = self.play.weights or None
             (node,) = self._rng.choices(range(self.play.nodes), weights)
-            wait_s = self._gates[node].admit(now, CUSTOMER, self.play.kept, self.play.nodes)
+            wait_s = self._gates[node].admit(now, CUSTOMER, self.play.enforced, self.play.nodes)
             self._requests.append(Request(now, wait_s == 0.0))
-        self._at(now + self._rng.expovariate(max(per_s, 0.01)), self._come)
+        self._at(now + self._rng.expovariate(max(per_s, 0.01)), self._arrive)
 
     def _tick(self, node: int, now: float) -> None:
-        for owner, reports in self._gates[node].due(now, self._living(now, node)).items():
+        for owner, reports in self._gates[node].due(now, self._alive_nodes(now, node)).items():
             for report in reports:
-                self._send(now, node, owner, partial(self._reported, node, owner, report))
+                self._send(now, node, owner, partial(self._receive_report, node, owner, report))
         self._at(now + TICK_S, partial(self._tick, node))
 
-    def _reported(self, ingress: int, owner: str, report: Report, now: float) -> None:
+    def _receive_report(self, ingress: int, owner: str, report: Report, now: float) -> None:
         node = self._names.index(owner)
-        share = len(self._living(now, node)) / self.play.nodes
-        word = self._ledgers[node].take(
-            now, self._names[ingress], report, self.play.kept, living_share=share
+        share = len(self._alive_nodes(now, node)) / self.play.nodes
+        allowance = self._ledgers[node].take(
+            now, self._names[ingress], report, self.play.enforced, living_share=share
         )
-        told = partial(self._told, ingress, owner, word)
-        self._send(now, node, self._names[ingress], told)
+        reply = partial(self._receive_allowance, ingress, owner, allowance)
+        self._send(now, node, self._names[ingress], reply)
 
-    def _told(self, ingress: int, owner: str, word: Allowance, now: float) -> None:
-        self._gates[ingress].hear(now, owner, word)
+    def _receive_allowance(
+        self, ingress: int, owner: str, allowance: Allowance, now: float
+    ) -> None:
+        self._gates[ingress].hear(now, owner, allowance)
 
     def _send(self, now: float, node: int, to: str, action: Callable[[float], None]) -> None:
         other = self._names.index(to)
@@ -156,17 +158,17 @@
             self.datagrams += 1
             if self._rng.random() < self.play.lost or self._cut(now, node, other):
                 return
-        self._at(now + (self._rng.uniform(0.0, WAY_S) if other != node else 0.0), action)
+        self._at(now + (self._rng.uniform(0.0, MAX_DELAY_S) if other != node else 0.0), action)
 
     def _cut(self, now: float, node: int, other: int) -> bool:
         return self.play.apart(node, now) != self.play.apart(other, now)
 
-    def _living(self, now: float, node: int) -> list[str]:
-        """Return the nodes that `node` believes alive: it detects a cut only after `DEAD_S`."""
+    def _alive_nodes(self, now: float, node: int) -> list[str]:
+        """Return the nodes that `node` believes alive; it detects a cut after `DEAD_AFTER_S`."""
         return [
             name
             for other, name in enumerate(self._names)
-            if not (self._cut(now, node, other) and self._cut(now - DEAD_S, node, other))
+            if not (self._cut(now, node, other) and self._cut(now - DEAD_AFTER_S, node, other))
         ]
 
     def _restart(self, node: int, _: float) -> None:
--- a/tests/relay.py
+++ b/tests/relay.py
@@ -57,10 +57,12 @@
     async def _listen(self) -> None:
         for number in range(1, self._count + 1):
             real = f"127.0.{self._net}.{number}"
-            shown = f"127.0.{self._advertise_net}.{number}"
-            server = await asyncio.start_server(partial(self._stream, real), shown, PORTS["stream"])
+            advertised = f"127.0.{self._advertise_net}.{number}"
+            server = await asyncio.start_server(
+                partial(self._stream, real), advertised, PORTS["stream"]
+            )
             transport, _ = await self._loop.create_datagram_endpoint(
-                partial(_Datagrams, self, real), local_addr=(shown, PORTS["gossip"])
+                partial(_Datagrams, self, real), local_addr=(advertised, PORTS["gossip"])
             )
 
             self._listening += [server, transport]
--- a/tests/stopping.py
+++ b/tests/stopping.py
@@ -77,6 +77,9 @@
         method: `GET` may be repeated, `POST` must not.
         took_s: Service time at the target, in seconds.
         identity: Request id that the caller sends.
+
+    Attributes:
+        told_at: Time at which the caller had the response, or its connection ended.
     """
 
     def __init__(self, ip: str, method: str, took_s: float, identity: str) -> None:
@@ -150,12 +153,12 @@
     def send_sigterm(self, number: int) -> float:
         """Send SIGTERM, and SIGKILL after `GRACE_S`; return the time of the SIGTERM."""
         process = self.processes[number]
-        told_at = clock.now()
+        sent_at = clock.now()
         process.send_signal(signal.SIGTERM)
         killer = threading.Timer(GRACE_S, process.kill)
         killer.daemon = True
         killer.start()
-        return told_at
+        return sent_at
 
     def log(self, number: int) -> list[dict[str, Any]]:
         """Return the JSON log lines of a node."""
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -20,13 +20,13 @@
     return day
 
 
-def test_there_are_days() -> None:
+def test_days_exist() -> None:
     """The folder is the one in which the users' tools look for days."""
     assert len(DAYS) >= 10
 
 
 @pytest.mark.parametrize("path", DAYS, ids=lambda path: path.stem)
-def test_a_day_can_be_read_and_names_no_deployment(path: Path) -> None:
+def test_a_day_is_valid_and_names_no_deployment(path: Path) -> None:
     """Every step has a kind and a time, and refers to places only by number."""
     day = read(path)
     assert day["name"] == path.stem
@@ -38,6 +38,6 @@
 
 
 @pytest.mark.parametrize("path", DAYS, ids=lambda path: path.stem)
-def test_a_day_is_told_of(path: Path) -> None:
+def test_a_day_is_documented(path: Path) -> None:
     """The README of the folder lists the day."""
     assert f"| `{path.stem}` |" in (path.parent / "README.md").read_text()
--- a/tests/test_deadly.py
+++ b/tests/test_deadly.py
@@ -26,7 +26,7 @@
 """Timeout for conditions that normally hold at once."""
 
 
-def ended_row() -> Row:
+def crashed_row() -> Row:
     """Return the gossip row of a request under which enough targets crashed."""
     return [WORK, -1.0, [[f"target-{number}/1", 0.1] for number in range(ENDS)]]
 
@@ -48,8 +48,8 @@
         """Return the outcome of the request that waited."""
         self._waiting.join(WAIT_S)
         assert not self._waiting.is_alive()
-        (sent_back,) = [one for one in self.replies if isinstance(one.outcome, NotRun)]
-        return sent_back.outcome
+        (returned,) = [one for one in self.replies if isinstance(one.outcome, NotRun)]
+        return returned.outcome
 
     def finish(self) -> None:
         """Wait until the target has answered the other requests."""
@@ -72,10 +72,10 @@
         assert ready()
 
 
-def test_what_is_found_out_while_it_waits_keeps_it_from_its_turn(bench: Bench) -> None:
+def test_a_queued_request_is_quarantined_when_crash_reports_arrive(bench: Bench) -> None:
     """It was queued before the third target crashed, and its slot is granted after that."""
     queue = Queue(bench)
-    bench.sidecar.quarantine.hear(clock.now(), ended_row())
+    bench.sidecar.quarantine.hear(clock.now(), crashed_row())
     outcome = queue.outcome()
     assert isinstance(outcome, NotRun)
     assert outcome.reason is Reason.QUARANTINED
@@ -83,10 +83,10 @@
     assert bench.runs == 2
 
 
-def test_a_drained_target_sends_it_back_and_it_does_not_run_there(bench: Bench) -> None:
+def test_a_request_returned_by_a_drain_does_not_run_on_this_vm(bench: Bench) -> None:
     """Nor does it run when it is sent to this VM again."""
     queue = Queue(bench)
-    bench.sidecar.quarantine.hear(clock.now(), ended_row())
+    bench.sidecar.quarantine.hear(clock.now(), crashed_row())
     bench.configure(revision=3, leaving=True)
     outcome = queue.outcome()
     assert isinstance(outcome, NotRun)
@@ -105,11 +105,11 @@
 
     def __init__(self, *before: Outcome) -> None:
         super().__init__([*before, Answered(200, [], b"ok")])
-        self._sent_back_as = len(before)
+        self._returned_attempt = len(before)
 
     def run(self, attempt: Attempt, age_s: float = 0.0, watch: CallerWatch | None = None) -> Reply:
-        if len(self.attempts) + 1 == self._sent_back_as:
-            self.quarantine.hear(clock.now(), ended_row())
+        if len(self.attempts) + 1 == self._returned_attempt:
+            self.quarantine.hear(clock.now(), crashed_row())
         return super().run(attempt, age_s, watch)
 
 
@@ -122,7 +122,7 @@
     [("GET", []), ("POST", []), ("GET", [LOST])],
     ids=["repeatable", "not repeatable", "lost before"],
 )
-def test_what_is_sent_back_is_not_sent_on_by_an_ingress_that_knows(
+def test_an_ingress_with_crash_reports_does_not_redirect_a_returned_request(
     method: str, before: list[Outcome], why: Reason
 ) -> None:
     """The next sidecar may not have the crash reports yet.
@@ -142,7 +142,7 @@
     assert outcome.retry_after_ms > 1000
 
 
-def test_another_request_that_is_sent_back_goes_elsewhere() -> None:
+def test_another_returned_request_is_redirected() -> None:
     """A request without crash reports is redirected as usual."""
     sidecar = DrainedSidecar(NotRun(Reason.LEAVING, RETRY_SOON_MS))
     outcome = dispatcher(sidecar).dispatch(request("POST", fingerprint="other")).outcome
--- a/tests/test_key_shown_nowhere.py
+++ b/tests/test_key_shown_nowhere.py
@@ -25,7 +25,7 @@
 
 IPS = ("127.0.44.1", "127.0.44.2")
 PORTS = {"callers": 8101, "stream": 8102, "gossip": 8102, "admin": 8103}
-KEY, GONE, LATER = "kept-key-8f3a91c2d0", "gone-key-5b7e10aa42", "later-key-77c0e1f9b3"
+KEY, REMOVED_KEY, ADDED_KEY = "kept-key-8f3a91c2d0", "gone-key-5b7e10aa42", "later-key-77c0e1f9b3"
 PAGES = ("/status", "/targets", "/members", "/audit", "/metrics", "/metrics.json", "/ready")
 LIMIT_S = 15.0
 
@@ -93,7 +93,7 @@
     return subprocess.Popen(command, stdout=log, stderr=subprocess.STDOUT)
 
 
-def test_no_message_between_nodes_holds_a_key() -> None:
+def test_no_message_between_nodes_contains_a_key() -> None:
     """Neither a source update with a configuration nor a report of a customer's requests."""
     journal = Journal()
     journal.note(
@@ -108,10 +108,10 @@
     assert KEY.encode().hex() not in written
 
 
-def test_no_output_of_real_nodes_holds_a_key(tmp_path: Path) -> None:
+def test_no_output_of_real_nodes_contains_a_key(tmp_path: Path) -> None:
     """Debug logs, pages, metrics, responses and target requests; a removed key is rejected."""
     target, store = RawTarget(), StoreState()
-    store.put("op/config", published(3, KEY, GONE))
+    store.put("op/config", published(3, KEY, REMOVED_KEY))
     store.put("servers/i-1", entry(f"{IPS[0]}:8110"))
     server = store_server((IPS[0], 8104), store)
     server.start_thread()
@@ -119,7 +119,7 @@
     texts = []
     try:
         for ip in IPS:
-            until(lambda ip=ip: ask(ip, token(GONE))[0] == 200)
+            until(lambda ip=ip: ask(ip, token(REMOVED_KEY))[0] == 200)
             for shown in (token(KEY), token(KEY + "x"), {"Authorization": KEY}, {}):
                 texts.append(ask(ip, shown)[1])
             texts.append(ask(ip, token(KEY), "/none/")[1])
@@ -128,10 +128,10 @@
                     b"GET / nonsense\r\nAuthorization: Token " + KEY.encode() + b"\r\n\r\n"
                 )
                 texts.append(repr(sock.recv(4096)))
-        store.put("op/config", published(4, KEY, LATER))
+        store.put("op/config", published(4, KEY, ADDED_KEY))
         for ip in IPS:
-            until(lambda ip=ip: ask(ip, token(LATER))[0] == 200)
-            until(lambda ip=ip: ask(ip, token(GONE))[0] == 401)
+            until(lambda ip=ip: ask(ip, token(ADDED_KEY))[0] == 200)
+            until(lambda ip=ip: ask(ip, token(REMOVED_KEY))[0] == 401)
         texts += [page(ip, path) for ip in IPS for path in PAGES]
     finally:
         for node in nodes:
@@ -142,7 +142,9 @@
         target.close()
     texts += [(tmp_path / f"{ip}.log").read_text() for ip in IPS]
     texts += [repr(head) for head in target.heads]
-    assert not [text[:200] for text in texts for key in (KEY, GONE, LATER) if key in text]
+    assert not [
+        text[:200] for text in texts for key in (KEY, REMOVED_KEY, ADDED_KEY) if key in text
+    ]
     assert target.heads
     assert all(b"Tenant-Id: library" in head for head in target.heads)
     assert not any(b"forged" in head for head in target.heads)
--- a/tests/test_machine.py
+++ b/tests/test_machine.py
@@ -19,15 +19,15 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from tests.gray_target import Mood
+from tests.gray_target import TargetMode
 from tests.machine_model import TARGETS, VMS, WINDOW_S, Model
 from tests.virtual import Hold
 
 VM = st.integers(0, len(VMS) - 1)
 TARGET = st.integers(0, len(TARGETS) - 1)
-ANY = st.integers(0, 50)
+ANY_INDEX = st.integers(0, 50)
 """Selects one of the current items."""
-BACK = st.integers(0, 3)
+INDEX_FROM_END = st.integers(0, 3)
 """Selects one of the newest items."""
 HOLD = st.sampled_from(
     [
@@ -45,22 +45,26 @@
 )
 """Frames that contain any of these bytes are delayed: none, some kinds, all."""
 METHOD = st.sampled_from(["POST", "GET"])
-MOOD = st.sampled_from([Mood.RUN, Mood.RUN, Mood.HANG, Mood.HANG, *Mood])
-END = st.sampled_from([Mood.RUN, Mood.FAIL, Mood.LOSE_BEFORE, Mood.LOSE_AFTER])
+MODE = st.sampled_from(
+    [TargetMode.RUN, TargetMode.RUN, TargetMode.HANG, TargetMode.HANG, *TargetMode]
+)
+END = st.sampled_from(
+    [TargetMode.RUN, TargetMode.FAIL, TargetMode.LOSE_BEFORE, TargetMode.LOSE_AFTER]
+)
 BYTES = st.sampled_from([0, 1, 5, 40, 100_000])
 """Bytes in flight that are delivered before a reset."""
 SIDES = st.sampled_from([(True, False), (False, True), (True, True)])
 """Whether the client and the server see a reset."""
-PART = st.sampled_from([None, None, 1, 5, 40])
+PARTIAL_BYTES = st.sampled_from([None, None, 1, 5, 40])
 SECONDS = st.sampled_from([0.01, 0.1, 0.3, 2.5, 6.0])
-STILL_S = st.sampled_from([181.0, 181.0, 0.6])
+FROZEN_S = st.sampled_from([181.0, 181.0, 0.6])
 """Seconds that a process is frozen; after the longest a sidecar drops its fences."""
 LOSS = st.sampled_from(["caller", "connection", "time", "process"])
-AMID = 3
+CONCURRENT_REQUESTS = 3
 """Concurrent requests, so that one uses the connection on which something is delayed."""
 REPLY_S = 2.5
 """Seconds after which no ingress waits for a reply."""
-LONGEST_S = 5.0
+OUTCOME_WITHIN_S = 5.0
 """Seconds until every request has an outcome once all faults end; the route timeout is 2 s."""
 
 EXAMPLES = {"late": 100, "shared": 35, "gray": 25, "key": 110, "full": 20}
@@ -76,10 +80,10 @@
         self.model = Model()
         self.world = self.model.world
 
-    @initialize(moods=st.lists(MOOD, min_size=len(TARGETS), max_size=len(TARGETS)))
-    def begin(self, moods: list[Mood]) -> None:
-        for target, mood in zip(self.model.targets, moods, strict=True):
-            target.mood = mood
+    @initialize(modes=st.lists(MODE, min_size=len(TARGETS), max_size=len(TARGETS)))
+    def begin(self, modes: list[TargetMode]) -> None:
+        for target, mode in zip(self.model.targets, modes, strict=True):
+            target.mode = mode
 
     @rule(seconds=SECONDS)
     def advance(self, seconds: float) -> None:
@@ -92,9 +96,9 @@
 
     def teardown(self) -> None:
         try:
-            self.model.mend()
-            self.model.end_all()
-            self.model.advance(LONGEST_S)
+            self.model.clear_faults()
+            self.model.run_all_held()
+            self.model.advance(OUTCOME_WITHIN_S)
             self.promises_hold()
             assert self.model.unanswered() == []
         finally:
@@ -128,7 +132,7 @@
                 self.model.advance(REPLY_S)
         self.world.settle()
 
-    @rule(which=ANY, hold=HOLD)
+    @rule(which=ANY_INDEX, hold=HOLD)
     def leave(self, which: int, hold: Hold) -> None:
         waiting = self.model.unanswered()
         if waiting:
@@ -142,7 +146,7 @@
     @rule(vm=VM, method=METHOD)
     def send_amid_late_frames(self, vm: int, method: str) -> None:
         """Send requests, and deliver all delayed data while they are in flight."""
-        for _ in range(AMID):
+        for _ in range(CONCURRENT_REQUESTS):
             self.model.send(self._awaiting(vm), method, "", None, ())
         self.model.release()
 
@@ -154,7 +158,7 @@
     def send_with_key(self, vm: int, hold: Hold) -> None:
         self.model.send(vm, "POST", f"key-{len(self.model.ledger.sent)}", None, hold)
 
-    @rule(vm=VM, back=BACK, hold=HOLD, release=st.booleans())
+    @rule(vm=VM, back=INDEX_FROM_END, hold=HOLD, release=st.booleans())
     def repeat(self, vm: int, back: int, hold: Hold, release: bool) -> None:
         """Repeat a request; delayed data is delivered right after, or stays delayed."""
         since = self.world.now - WINDOW_S
@@ -169,13 +173,13 @@
 class Targets(Promises):
     """Targets that change their mode, and end the requests that they hold late."""
 
-    @rule(which=TARGET, every=st.booleans(), mood=MOOD)
-    def turn(self, which: int, every: bool, mood: Mood) -> None:
+    @rule(which=TARGET, every=st.booleans(), mode=MODE)
+    def turn(self, which: int, every: bool, mode: TargetMode) -> None:
         for target in self.model.targets if every else [self.model.targets[which]]:
-            target.mood = mood
+            target.mode = mode
 
-    @rule(which=ANY, how=END, hold=HOLD)
-    def end_held(self, which: int, how: Mood, hold: Hold) -> None:
+    @rule(which=ANY_INDEX, how=END, hold=HOLD)
+    def end_held(self, which: int, how: TargetMode, hold: Hold) -> None:
         held = [(target, one) for target in self.model.targets for one in target.held]
         if held:
             target, arrival = held[which % len(held)]
@@ -187,7 +191,7 @@
 class Network(Promises):
     """Connections that are delayed, reset, or cut in one direction."""
 
-    @rule(back=BACK, size=PART, hold=HOLD)
+    @rule(back=INDEX_FROM_END, size=PARTIAL_BYTES, hold=HOLD)
     def deliver(self, back: int, size: int | None, hold: Hold) -> None:
         pipes = self.model.delayed()
         if pipes:
@@ -196,7 +200,7 @@
             pipe.held = size is not None
             self.world.settle(hold)
 
-    @rule(back=BACK, up=BYTES, down=BYTES, sides=SIDES, hold=HOLD)
+    @rule(back=INDEX_FROM_END, up=BYTES, down=BYTES, sides=SIDES, hold=HOLD)
     def reset(self, back: int, up: int, down: int, sides: tuple[bool, bool], hold: Hold) -> None:
         connections = self.world.connections
         if connections:
@@ -229,7 +233,7 @@
         else:
             node.freeze()
 
-    @rule(vm=VM, seconds=STILL_S, ticker_first=st.booleans())
+    @rule(vm=VM, seconds=FROZEN_S, ticker_first=st.booleans())
     def stand_still(self, vm: int, seconds: float, ticker_first: bool) -> None:
         self.model.stand_still(self._awaiting(vm), seconds, ticker_first)
         self.world.settle()
--- a/tests/test_platform_path.py
+++ b/tests/test_platform_path.py
@@ -148,7 +148,7 @@
         made.close()
 
 
-def test_a_request_and_what_its_target_is_told(stage: Stage) -> None:
+def test_a_request_and_the_headers_its_target_receives(stage: Stage) -> None:
     """Id, path and host are unchanged; deadline, instance and origin have their headers."""
     assert stage.ask("GET", "/a/x?q=1") == (200, b"ok")
     head = stage.target.heads[-1]
@@ -161,7 +161,7 @@
     assert stage.ask("GET", "/other/")[0] == 404
 
 
-def test_a_target_that_breaks_off_is_refused_for_what_must_not_repeat(stage: Stage) -> None:
+def test_after_a_lost_response_non_repeatable_requests_are_refused(stage: Stage) -> None:
     """The first outcome is unknown; later requests are refused before a byte is sent."""
     stage.target.resets = 1
     assert stage.ask("POST", "/b/x")[0] == 504
@@ -171,7 +171,7 @@
     assert stage.ask("GET", "/a/x")[0] == 200
 
 
-def test_a_stop_serves_on_until_callers_have_been_sent_elsewhere(stage: Stage) -> None:
+def test_a_stopping_node_still_serves_for_a_while(stage: Stage) -> None:
     """It is not ready at once, serves for two more seconds, then exits by itself."""
     stage.daemon.send_signal(signal.SIGTERM)
     stage.wait_ready(503)
@@ -179,7 +179,7 @@
     assert stage.daemon.wait(timeout=8.0) == 0
 
 
-def test_a_hang_up_reads_the_settings_again_and_ends_nothing(stage: Stage) -> None:
+def test_sighup_reloads_the_settings_without_interruption(stage: Stage) -> None:
     """Two signals at once with an invalid file, then one with a valid file."""
     stage.path.write_text("{ no settings")
     for _ in range(2):
@@ -193,7 +193,7 @@
     assert stage.daemon.poll() is None
 
 
-def test_a_settings_file_that_changes_without_a_signal_is_read_again(stage: Stage) -> None:
+def test_a_changed_settings_file_is_reloaded_without_a_signal(stage: Stage) -> None:
     """The new retry budget then applies."""
     store = {**stage.settings["store"], "retry_slack": 90}
     stage.path.write_text(json.dumps({**stage.settings, "store": store}))
--- a/tests/test_stop_hazards.py
+++ b/tests/test_stop_hazards.py
@@ -25,25 +25,25 @@
 from tests.fake_sidecar import FakeSidecar, dispatcher
 from tests.test_ending import Waiting, full_slots
 from tests.test_sidecar import Bench, attempt, bench
-from tests.test_stop_order import ADDRESS, Way, wait_for, way
+from tests.test_stop_order import ADDRESS, PeerLink, link, wait_for
 
-__all__ = ["bench", "way"]
+__all__ = ["bench", "link"]
 
-FULL = (ADDRESS, 7899)
+FULL_BACKLOG = (ADDRESS, 7899)
 """Address of a target that accepts no connection."""
-USUAL_MS = 300.0
+TYPICAL_MS = 300.0
 
 
-def test_what_a_peer_agreed_to_too_late_is_not_sent(way: Way) -> None:
+def test_an_attempt_accepted_too_late_is_not_sent(link: PeerLink) -> None:
     """A slow acceptance uses up the time in which the request could have been answered."""
-    way.view.ending.at = clock.now() + ANSWER_MIN_S + 0.3
-    thread = way.send(1, usual_ms=USUAL_MS, pressing=True)
-    assert way.peer.asked.wait(5.0)
-    wait_for(lambda: clock.now() >= way.view.ending.last_start(USUAL_MS))
-    way.peer.agrees.set()
+    link.view.ending.at = clock.now() + ANSWER_MIN_S + 0.3
+    thread = link.send(1, usual_ms=TYPICAL_MS, pressing=True)
+    assert link.peer.asked.wait(5.0)
+    wait_for(lambda: clock.now() >= link.view.ending.last_start(TYPICAL_MS))
+    link.peer.may_accept.set()
     thread.join(0.3)
-    assert not way.peer.attempts
-    assert [type(outcome) for outcome in way.outcomes] == [NotRun]
+    assert not link.peer.attempts
+    assert [type(outcome) for outcome in link.outcomes] == [NotRun]
 
 
 def test_a_slot_that_is_granted_too_late_starts_nothing(
@@ -52,28 +52,31 @@
     """A node that is short of CPU time may start the request long after its slot is granted."""
     sidecar, ending = bench.sidecar, bench.sidecar._ending
 
-    def starved() -> float:
+    def delayed() -> float:
         ending.at = clock.now() + 0.1
         return 0.0
 
-    monkeypatch.setattr(sidecar._pause, "settle", starved)
-    outcome = sidecar.run(attempt(1, usual_ms=USUAL_MS)).outcome
+    monkeypatch.setattr(sidecar._pause, "settle", delayed)
+    outcome = sidecar.run(attempt(1, usual_ms=TYPICAL_MS)).outcome
     assert isinstance(outcome, NotRun)
     assert outcome.reason is Reason.LEAVING
     assert bench.runs == 0
 
 
-def test_a_target_that_takes_no_connection_holds_nobody_until_its_node_ends(bench: Bench) -> None:
+def test_a_target_that_accepts_no_connection_does_not_delay_the_outcome(bench: Bench) -> None:
     """Nothing of the request was sent, so its caller is told that it did not run."""
     bench.server.stop()
-    with socket.create_server(FULL, backlog=0) as listener, contextlib.ExitStack() as others:
+    with (
+        socket.create_server(FULL_BACKLOG, backlog=0) as listener,
+        contextlib.ExitStack() as others,
+    ):
         for _ in range(3):  # more than its backlog; it accepts none
             others.enter_context(waiting := socket.socket())
             waiting.setblocking(False)
-            waiting.connect_ex(FULL)
+            waiting.connect_ex(FULL_BACKLOG)
         assert listener.fileno() >= 0
         target = bench.sidecar.targets["t"]
-        target._exchange._client = TargetClient(f"{FULL[0]}:{FULL[1]}")
+        target._exchange._client = TargetClient(f"{FULL_BACKLOG[0]}:{FULL_BACKLOG[1]}")
         ending = bench.sidecar._ending
         ending.at = clock.now() + ANSWER_MIN_S + 0.2
         outcome = bench.sidecar.run(attempt(1)).outcome
@@ -81,17 +84,17 @@
         assert clock.now() < ending.at - 0.2
 
 
-def test_who_queues_at_the_moment_of_a_drain_is_sent_back() -> None:
+def test_a_request_queued_during_a_drain_is_returned() -> None:
     """A request that saw the target in service and then entered the queue would never be woken."""
     slots = full_slots(Ending())
-    slots._queued = Late(slots)
+    slots._queued = DrainsOnInsert(slots)
     waiting = Waiting(slots, attempt(1))
     waiting.join(2.0)
     assert waiting.refusal is not None
     assert waiting.refusal.reason is Reason.LEAVING
 
 
-class Late(dict[str, Any]):
+class DrainsOnInsert(dict[str, Any]):
     """Queue that drains the target just before a request is added."""
 
     def __init__(self, slots: Any) -> None:
@@ -103,7 +106,7 @@
         super().__setitem__(key, value)
 
 
-def test_a_recall_that_finds_no_thread_does_not_end_the_stop(
+def test_a_recall_without_a_thread_does_not_abort_the_stop(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """On a machine out of threads the recall is retried later; other requests continue."""
@@ -119,7 +122,7 @@
     one.notices.send()
 
 
-class Closing(socket.socket):
+class ClosesOnFileno(socket.socket):
     """Closes itself when its descriptor is read."""
 
     def fileno(self) -> int:
@@ -128,12 +131,12 @@
         return number
 
 
-def test_a_connection_that_closes_during_a_look_does_not_end_the_stop() -> None:
+def test_a_connection_that_closes_during_a_check_does_not_abort_the_stop() -> None:
     """The connection's own thread may close it at any time."""
     settings = Settings("vm-1", "hall", "region", ADDRESS, ADDRESS, Ports(0, 0, 0, 0), "")
     one = dispatcher(FakeSidecar([]))
     ingress = Ingress(settings, one, one._view, Metrics())
-    ingress._open.add(Closing())
+    ingress._open.add(ClosesOnFileno())
     assert ingress.unread == 0
 
 
@@ -157,26 +160,26 @@
 class Failing(Idle):
     """Callers whose second count raises an error."""
 
-    looks = 0
+    checks = 0
 
     def unread(self) -> int:
-        self.looks += 1
-        if self.looks == 2:
+        self.checks += 1
+        if self.checks == 2:
             raise ValueError("file descriptor cannot be a negative integer (-1)")
         return 0
 
 
-def test_a_look_that_fails_does_not_end_the_process() -> None:
+def test_a_failed_check_does_not_end_the_process() -> None:
     """Such an error used to end the process at once, with requests still running at targets."""
     sidecar = Sidecar("vm-1", 7, PauseWatch(), pull=dict, behind=lambda *_: None)
     one = dispatcher(sidecar)
     callers = Failing()
     assert PlannedStop(one._view, callers, one, sidecar, limit_s=2.0, serve_s=0.1).run(lambda: None)
-    assert callers.looks > 2
+    assert callers.checks > 2
 
 
 @pytest.mark.parametrize("callers", [Idle(), Busy()])
-def test_a_limit_shorter_than_the_time_of_serving_is_kept(callers: Idle) -> None:
+def test_a_limit_shorter_than_the_serving_time_is_respected(callers: Idle) -> None:
     """After the limit the process is killed, and the cut requests would not be logged."""
     sidecar = Sidecar("vm-1", 7, PauseWatch(), pull=dict, behind=lambda *_: None)
     one = dispatcher(sidecar)
@@ -186,12 +189,12 @@
     assert clock.now() - began <= 1.0
 
 
-def test_a_recall_of_many_is_logged_in_a_whole_line(
-    way: Way, caplog: pytest.LogCaptureFixture
+def test_a_recall_of_many_attempts_is_logged_as_valid_json(
+    link: PeerLink, caplog: pytest.LogCaptureFixture
 ) -> None:
     """`roadpass trace` parses these lines."""
     caplog.set_level(logging.INFO, "roadpass")
-    way.transport.recall("vm-1", [f"10.3.0.58/1796274215987/{number}" for number in range(60)])
+    link.transport.recall("vm-1", [f"10.3.0.58/1796274215987/{number}" for number in range(60)])
     wait_for(lambda: any(record.getMessage() == "recalled" for record in caplog.records))
     for record in caplog.records:
         json.loads(_encoded(JsonFormatter().format(record)))
--- a/tests/test_stop_more.py
+++ b/tests/test_stop_more.py
@@ -37,9 +37,9 @@
 
 QUEUED_S = 0.3
 """Seconds after its first refusal until a request is in the queue."""
-ANSWERED_S = GRACE_S - 0.3
+ANSWERED_WITHIN_S = GRACE_S - 0.3
 """Seconds from SIGTERM by which the caller must have a response, before the node ends."""
-ASKED_AT_S = 2.3
+SENT_AT_S = 2.3
 """Seconds from SIGTERM to the last request; the node still accepts it."""
 FREE_AT_S = GRACE_S - STOP_MARGIN_S - ANSWER_MIN_S - 0.1
 """Seconds from SIGTERM until the slot is free: just early enough to start a short request."""
@@ -48,7 +48,7 @@
 """Requests after which nodes know the typical latency of a kind."""
 
 
-class DarkTarget:
+class UnresponsiveTarget:
     """Listens but accepts no connection: its backlog is full."""
 
     def __init__(self, ip: str) -> None:
@@ -75,9 +75,9 @@
 
 
 @pytest.fixture
-def dark(pair: NodeProcesses) -> Iterator[list[DarkTarget]]:
+def unresponsive(pair: NodeProcesses) -> Iterator[list[UnresponsiveTarget]]:
     """Collect the dark targets; at the end close them and restore the working target."""
-    made: list[DarkTarget] = []
+    made: list[UnresponsiveTarget] = []
     try:
         yield made
     finally:
@@ -87,31 +87,29 @@
             pair.targets[1] = TimedTarget(pair.ips[1])
 
 
-def assert_told(asked: CallerRequest, target: TimedTarget, told_at: float) -> None:
+def assert_answered(asked: CallerRequest, target: TimedTarget, sigterm_at: float) -> None:
     """Assert that no target got a request, and that its caller got a response in time."""
     asked.join(GRACE_S + 2.0)
     assert "queued" not in target.received_at
     assert asked.status in {502, 503, 504}
-    assert asked.told_at < told_at + ANSWERED_S
+    assert asked.told_at < sigterm_at + ANSWERED_WITHIN_S
 
 
 @pytest.mark.parametrize("method", ["GET", "POST"])
-def test_what_waits_beside_a_vm_that_stands_still_is_answered(
-    pair: NodeProcesses, method: str
-) -> None:
+def test_a_request_queued_at_a_frozen_peer_is_answered(pair: NodeProcesses, method: str) -> None:
     """The frozen peer neither returns the request nor answers it."""
     pair.ask_target(0, 1, "POST", RUNS_ON_S, "runs")
     queued = pair.ask(0, method, 0.0, "queued")
     wait_until(lambda: waits(pair, 0, "queued"), 5.0)
     time.sleep(QUEUED_S)
     pair.processes[1].send_signal(signal.SIGSTOP)
-    told_at = pair.send_sigterm(0)
-    assert_told(queued, pair.targets[1], told_at)
+    sigterm_at = pair.send_sigterm(0)
+    assert_answered(queued, pair.targets[1], sigterm_at)
 
 
 @pytest.mark.parametrize("method", ["GET", "POST"])
-def test_what_a_target_in_the_dark_never_had_is_answered(
-    pair: NodeProcesses, dark: list[DarkTarget], method: str
+def test_a_request_for_an_unresponsive_target_is_answered(
+    pair: NodeProcesses, unresponsive: list[UnresponsiveTarget], method: str
 ) -> None:
     """It has its slot, but no connection yet when its ingress shuts down."""
     for number in range(SAMPLES):
@@ -121,11 +119,11 @@
     with socket.create_connection((pair.ips[0], PORTS["callers"])) as runs:
         runs.sendall((head.format(RUNS_ON_S) + rest).encode())
         wait_until(lambda: "runs" in pair.targets[1].received_at, 5.0)
-        told_at = pair.send_sigterm(0)
-        time.sleep(told_at + ASKED_AT_S - clock.now())
+        sigterm_at = pair.send_sigterm(0)
+        time.sleep(sigterm_at + SENT_AT_S - clock.now())
         queued = pair.ask(0, method, SHORT_S, "queued")
-        sound = pair.targets[1]
-        sound.close()
-        dark.append(DarkTarget(pair.ips[1]))
-        time.sleep(told_at + FREE_AT_S - clock.now())
-    assert_told(queued, sound, told_at)
+        working = pair.targets[1]
+        working.close()
+        unresponsive.append(UnresponsiveTarget(pair.ips[1]))
+        time.sleep(sigterm_at + FREE_AT_S - clock.now())
+    assert_answered(queued, working, sigterm_at)
--- a/tests/test_stop_order.py
+++ b/tests/test_stop_order.py
@@ -31,7 +31,7 @@
 
 ADDRESS = "127.0.44.2"
 HELLO: Message = {"t": "hello", "vm": "vm-2", "incarnation": 1}
-COMES_S = 0.5
+SENT_AT_S = 0.5
 """Seconds from SIGTERM at which callers are still served."""
 PAUSED_UNTIL_S = GRACE_S - 0.7
 """Seconds from SIGTERM: later than queued requests are normally returned."""
@@ -43,8 +43,8 @@
 
     def __init__(self) -> None:
         super().__init__("vm-1", 7, PauseWatch(), pull=dict, behind=lambda *_: None)
-        self.agrees = threading.Event()
-        self.arrives = threading.Event()
+        self.may_accept = threading.Event()
+        self.may_reply = threading.Event()
         self.asked = threading.Event()
         self.attempts: list[str] = []
 
@@ -52,18 +52,18 @@
         match message["t"]:
             case "check":
                 self.asked.set()
-                self.agrees.wait(10.0)
+                self.may_accept.wait(10.0)
                 return {"t": "accepted"}
             case "attempt":
                 self.attempts.append(message["id"])
-                self.arrives.wait(10.0)
+                self.may_reply.wait(10.0)
                 load = LoadReport(0, 0, 1, 0.0, 0.0, 1.0, 1)
                 return Reply(Answered(200, [], b"ok"), load).to_message()
             case _:
                 return super().answer(message, age_s)
 
 
-class Way:
+class PeerLink:
     """The transport of an ingress, and a peer that it reaches over a stream."""
 
     def __init__(self, port: int) -> None:
@@ -89,15 +89,15 @@
         return thread
 
     def close(self) -> None:
-        self.peer.agrees.set()
-        self.peer.arrives.set()
+        self.peer.may_accept.set()
+        self.peer.may_reply.set()
         self.ref.stop()
 
 
 @pytest.fixture
-def way() -> Iterator[Way]:
+def link() -> Iterator[PeerLink]:
     """Return a link to a peer."""
-    made = Way(next(_PORTS))
+    made = PeerLink(next(_PORTS))
     try:
         yield made
     finally:
@@ -112,33 +112,33 @@
         threading.Event().wait(0.002)
 
 
-def test_what_a_peer_promised_never_to_start_is_told_its_caller(way: Way) -> None:
+def test_a_promise_never_to_start_is_reported_to_the_caller(link: PeerLink) -> None:
     """Its frame may be in flight, or its reply lost; the reply to the recall is proof enough."""
-    way.peer.agrees.set()
-    thread = way.send(1)
-    wait_for(lambda: way.peer.attempts)
-    way.view.ending.at = clock.now() + ANSWER_MIN_S
-    way.transport.recall("vm-1", ["vm-2/1/1"])
+    link.peer.may_accept.set()
+    thread = link.send(1)
+    wait_for(lambda: link.peer.attempts)
+    link.view.ending.at = clock.now() + ANSWER_MIN_S
+    link.transport.recall("vm-1", ["vm-2/1/1"])
     thread.join(ANSWER_MIN_S)
-    assert way.outcomes == [NotRun(Reason.LEAVING, 500)]
+    assert link.outcomes == [NotRun(Reason.LEAVING, 500)]
 
 
-def test_the_promise_of_another_process_is_no_proof(way: Way) -> None:
+def test_the_promise_of_another_process_is_no_proof(link: PeerLink) -> None:
     """A restarted peer never had the attempt, but the process before it may have run it."""
-    way.peer.agrees.set()
-    thread = way.send(1)
-    wait_for(lambda: way.peer.attempts)
-    way.peer._incarnation += 1
-    way.view.ending.at = clock.now() + 9.0
-    way.transport.recall("vm-1", ["vm-2/1/1"])
+    link.peer.may_accept.set()
+    thread = link.send(1)
+    wait_for(lambda: link.peer.attempts)
+    link.peer._incarnation += 1
+    link.view.ending.at = clock.now() + 9.0
+    link.transport.recall("vm-1", ["vm-2/1/1"])
     thread.join(0.5)
-    assert way.outcomes == []
-    way.peer.arrives.set()
+    assert link.outcomes == []
+    link.peer.may_reply.set()
     thread.join(5.0)
-    assert isinstance(way.outcomes[0], Answered)
+    assert isinstance(link.outcomes[0], Answered)
 
 
-def test_a_recall_before_the_frame_is_there(bench: Bench) -> None:
+def test_a_recall_before_its_attempt_arrives(bench: Bench) -> None:
     """The attempt never starts: its reply says so, and it takes no slot."""
     assert bench.sidecar.recall(["vm-2/1/1"]) == ["vm-2/1/1"]
     assert bench.sidecar.recall(["vm-2/1/1"]) == ["vm-2/1/1"]
@@ -149,10 +149,10 @@
     assert bench.sidecar.in_flight == 0
 
 
-def test_recalls_and_starts_at_once_agree(bench: Bench) -> None:
+def test_concurrent_recalls_and_starts_are_consistent(bench: Bench) -> None:
     """A recalled attempt has not run, and every other one has been answered."""
     bench.state.behaviour.median_ms = 0.0
-    told: set[str] = set()
+    recalled: set[str] = set()
     outcomes: dict[str, Outcome] = {}
     both = threading.Barrier(2)
 
@@ -166,10 +166,10 @@
         thread.start()
         both.wait()
         time.sleep(number % 8 * 1e-4)
-        told.update(bench.sidecar.recall([one.id]))
+        recalled.update(bench.sidecar.recall([one.id]))
         thread.join()
-        assert isinstance(outcomes[one.id], NotRun if one.id in told else Answered)
-    assert bench.runs == 200 - len(told)
+        assert isinstance(outcomes[one.id], NotRun if one.id in recalled else Answered)
+    assert bench.runs == 200 - len(recalled)
 
 
 @pytest.fixture
@@ -202,55 +202,55 @@
 
 @pytest.mark.parametrize("node", [0, 1])
 @pytest.mark.parametrize("method", ["GET", "POST"])
-def test_what_comes_while_its_node_stops_and_waits_is_sent_back(
+def test_a_request_queued_during_a_stop_is_returned(
     pair: NodeProcesses, node: int, method: str
 ) -> None:
     """A stopping node has no repeats left, so a read waits on beyond its latency objective."""
     pair.ask_target(1, 1, "POST", RUNS_ON_S, "runs")
-    told_at = pair.send_sigterm(node)
-    threading.Event().wait(COMES_S)
+    sigterm_at = pair.send_sigterm(node)
+    threading.Event().wait(SENT_AT_S)
     asked = pair.ask(node, method, 0.0, "queued")
     wait_until(lambda: waits(pair, node, "queued"), 2.0)
-    assert_sent_back(asked, told_at)
+    assert_sent_back(asked, sigterm_at)
     assert "queued" not in pair.targets[1].received_at
 
 
 def test_both_nodes_stop(pair: NodeProcesses) -> None:
     """Both the node that has the caller and the node that has the queue."""
     asked = queued(pair)
-    told_at = pair.send_sigterm(0)
+    sigterm_at = pair.send_sigterm(0)
     pair.send_sigterm(1)
-    assert_sent_back(asked, told_at)
+    assert_sent_back(asked, sigterm_at)
 
 
-def test_a_node_that_stands_still_while_it_stops_sends_back_when_it_wakes(
+def test_a_node_frozen_during_its_stop_returns_requests_when_it_resumes(
     pair: NodeProcesses,
 ) -> None:
     """The pause of the process does not defer the time of its SIGKILL."""
     asked = queued(pair)
-    told_at = pair.send_sigterm(0)
+    sigterm_at = pair.send_sigterm(0)
     threading.Event().wait(2.0)
     pair.processes[0].send_signal(signal.SIGSTOP)
-    threading.Event().wait(told_at + PAUSED_UNTIL_S - clock.now())
+    threading.Event().wait(sigterm_at + PAUSED_UNTIL_S - clock.now())
     pair.processes[0].send_signal(signal.SIGCONT)
     asked.join(GRACE_S + 2.0)
     assert asked.status == 503
-    assert asked.told_at < told_at + GRACE_S
+    assert asked.told_at < sigterm_at + GRACE_S
 
 
-def test_a_node_that_still_starts_stops(single: NodeProcesses) -> None:
+def test_a_node_stops_while_it_starts(single: NodeProcesses) -> None:
     """SIGTERM may come before the node listens for callers."""
     single.processes[0].kill()
     single.processes[0].wait()
     lines = len(single.log(0))
     single.processes[0] = single._start(single.ips[0])
     wait_until(lambda: len(single.log(0)) > lines, 10.0)
-    told_at = single.send_sigterm(0)
+    sigterm_at = single.send_sigterm(0)
     assert single.processes[0].wait(GRACE_S + 2.0) == 0
-    assert clock.now() < told_at + GRACE_S - 1.0
+    assert clock.now() < sigterm_at + GRACE_S - 1.0
 
 
-def test_other_signals_change_nothing_of_a_stop(single: NodeProcesses) -> None:
+def test_other_signals_do_not_affect_a_stop(single: NodeProcesses) -> None:
     """Neither a second SIGTERM or SIGINT nor a SIGHUP, which reloads the settings."""
     asked = single.ask_target(0, 0, "POST", 4.5, "runs")
     single.send_sigterm(0)
--- a/tests/virtual.py
+++ b/tests/virtual.py
@@ -22,7 +22,7 @@
 """Seconds of the wall clock at virtual time zero."""
 FIN = b""
 """Marks the end of a pipe on the wire."""
-MOST_TURNS = 20_000
+MAX_TURNS = 20_000
 """Limit of task turns and deliveries at one virtual time; more mean an endless loop."""
 POLLIN = 1
 
@@ -54,8 +54,8 @@
         self.done = False
         self._world = world
         self._work = work
-        self._go = threading.Semaphore(0)
-        self._back = threading.Semaphore(0)
+        self._resume = threading.Semaphore(0)
+        self._yielded = threading.Semaphore(0)
         self._thread = threading.Thread(target=self._run, daemon=True)
         self._thread.start()
 
@@ -68,8 +68,8 @@
 
     def turn(self) -> None:
         """Run the task until it waits or ends."""
-        self._go.release()
-        self._back.acquire()
+        self._resume.release()
+        self._yielded.acquire()
         if self.done:
             self._thread.join()
 
@@ -77,13 +77,13 @@
         """Return control to the scheduler; called by the task itself."""
         if self.process.dead:
             raise Abandoned
-        self._back.release()
-        self._go.acquire()
+        self._yielded.release()
+        self._resume.acquire()
         if self.process.dead:
             raise Abandoned
 
     def _run(self) -> None:
-        self._go.acquire()
+        self._resume.acquire()
         try:
             if not self.process.dead:
                 self._work()
@@ -92,7 +92,7 @@
         except BaseException as error:
             self._world.errors.append(error)
         self.done = True
-        self._back.release()
+        self._yielded.release()
 
 
 class Pipe:
@@ -125,7 +125,7 @@
         if not self.ended:
             self.arrived += item
 
-    def break_off(self, size: int) -> None:
+    def abort(self, size: int) -> None:
         """Deliver the first `size` bytes in flight, drop the others, and end the pipe."""
         if not self.ended:
             self.arrived += b"".join(self.wire)[:size]
@@ -266,7 +266,7 @@
         Args:
             hold: Writes that contain one of these are delayed, with all later ones of their pipe.
         """
-        for _ in range(MOST_TURNS):
+        for _ in range(MAX_TURNS):
             due = next((task for task in self.tasks if task.due), None)
             if due is not None:
                 self._turn(due)
@@ -298,8 +298,8 @@
     def pipes(self) -> list[Pipe]:
         """Return the pipes with data in flight; forget connections that are over."""
         self.connections = [one for one in self.connections if not one.over]
-        ways = [(one.up, one.down) for one in self.connections]
-        return [pipe for way in ways for pipe in way if pipe.wire]
+        directions = [(one.up, one.down) for one in self.connections]
+        return [pipe for pair in directions for pipe in pair if pipe.wire]
 
     def _turn(self, task: Task) -> None:
         self._task, task.until, task.ready = task, None, lambda: False
@@ -336,7 +336,7 @@
         return [number for number in self._numbers if self._world.readable[number]()]
 
 
-def stand_ins(world: World) -> dict[str, Any]:
+def virtual_modules(world: World) -> dict[str, Any]:
     """Return replacements of the modules `clock`, `time`, `select`, `socket` and `threading`."""
 
     class Event:
@@ -376,17 +376,19 @@
 
     Args:
         places: Modules, each with the names to replace in it.
-        things: Replacements by name.
+        replacements: Replacements by name.
     """
 
-    def __init__(self, places: dict[ModuleType, tuple[str, ...]], things: dict[str, Any]) -> None:
-        self._kept: list[tuple[ModuleType, str, Any]] = []
+    def __init__(
+        self, places: dict[ModuleType, tuple[str, ...]], replacements: dict[str, Any]
+    ) -> None:
+        self._originals: list[tuple[ModuleType, str, Any]] = []
         for module, names in places.items():
             for name in names:
-                self._kept.append((module, name, getattr(module, name)))
-                setattr(module, name, things[name])
+                self._originals.append((module, name, getattr(module, name)))
+                setattr(module, name, replacements[name])
 
     def undo(self) -> None:
         """Restore the original values."""
-        for module, name, kept in self._kept:
-            setattr(module, name, kept)
+        for module, name, original in self._originals:
+            setattr(module, name, original)
