--- a/tests/crowd.py
+++ b/tests/crowd.py
@@ -365,7 +365,7 @@
     def _send(self, node: CrowdNode, name: str) -> None:
         kind, at = self.load.kinds[name], self.world.now
         for other, one in self.load.kinds.items():
-            if one.beside == name:
+            if one.triggered_by == name:
                 self._send(node, other)
 
         def dispatch_and_record() -> None:
--- a/tests/load.py
+++ b/tests/load.py
@@ -23,8 +23,8 @@
         path: Path below that of the route, for all its requests; empty if each has its own.
         body: Body of its requests.
         route: Kind that owns the route it uses, empty for its own.
-        beside: Kind that triggers it: with each request of that kind, one of this kind is sent
-            to the same node.
+        triggered_by: Kind that triggers it: with each request of that kind, one of this kind is
+            sent to the same node.
     """
 
     service: str
@@ -41,7 +41,7 @@
     path: str = ""
     body: bytes = b""
     route: str = ""
-    beside: str = ""
+    triggered_by: str = ""
 
 
 class TargetFault(NamedTuple):
--- a/tests/test_crashing.py
+++ b/tests/test_crashing.py
@@ -85,7 +85,9 @@
         assert served(crowd, "rare") >= 0.95, seed
 
 
-COMPANION = Kind("lab", 60.0, 300, 800, True, path="companion", route="launch", beside="crashing")
+COMPANION = Kind(
+    "lab", 60.0, 300, 800, True, path="companion", route="launch", triggered_by="crashing"
+)
 """Sent with each coming of the one that ends targets, at the same moment to the same node."""
 
 
