--- a/roadpass/catalogue.py
+++ b/roadpass/catalogue.py
@@ -31,7 +31,7 @@
 """Seconds after a failed call in which withdrawn targets are kept: entries that lapsed while the
 source was unavailable are written again about 2 s after its return."""
 FALSE_EJECTIONS_PER_TARGET_WEEK = 0.1
-"""Accepted rate of false ejections of a target by its health judgement."""
+"""Accepted rate of false ejections, for each target and week."""
 ATTEMPT_TIMEOUT_MS = 60_000
 """So long that single attempts are bounded only by the deadline of their request."""
 WAITING_LIMIT = 400
@@ -118,7 +118,7 @@
         Args:
             now: Clock seconds.
             changes: The update.
-            confirmed_at: Monotonic seconds at which the source was last confirmed to have nothing
+            confirmed_at: Clock seconds at which the source was last confirmed to have nothing
                 newer than the state before: what it withdraws may have been gone since then.
 
         Returns:
--- a/roadpass/evidence.py
+++ b/roadpass/evidence.py
@@ -16,7 +16,7 @@
 GATEWAY_TIMEOUT = 504
 """Status that a target returns at the end of its time limit; it counts as no response then."""
 TIMED_OUT_SHARE = 0.9
-"""Share of the time limit after which this status means that the deadline has passed."""
+"""Share of the time limit after which `GATEWAY_TIMEOUT` means that the deadline has passed."""
 HANGING_FACTOR = 3.0
 """Multiple of the typical service time after which a request is not expected to end soon."""
 HANGING_WAIT_MS = 1000.0
@@ -43,7 +43,7 @@
     def __init__(self, false_ejections: float, now: float) -> None:
         self._detector = Detector(threshold(false_ejections))
         self._running: dict[str, Running] = {}
-        self._learnt_at = now
+        self._learned_at = now
 
     @property
     def scores(self) -> Scores:
@@ -112,7 +112,7 @@
             service_ms: Time that the target had it.
             failed: Whether it counts as a failure of the target.
         """
-        self._learnt_at = now
+        self._learned_at = now
         self._detector.observe(
             Sample(failed, service_ms),
             slow_ms=running.slow_ms,
@@ -122,7 +122,7 @@
 
     def forget_old(self, now: float) -> None:
         """Drop old evidence while idle, so that a target that gets requests again starts afresh."""
-        if now - self._learnt_at > EVIDENCE_TTL_S and self._detector.samples:
+        if now - self._learned_at > EVIDENCE_TTL_S and self._detector.samples:
             self._detector.reset()
 
 
--- a/roadpass/gossip.py
+++ b/roadpass/gossip.py
@@ -68,7 +68,7 @@
         audit: The audit trail.
         metrics: Counts datagrams and bytes.
         rng: Source of randomness.
-        quarantine: Records of requests during which targets crashed.
+        quarantine: Crash records of this node.
     """
 
     def __init__(
@@ -222,7 +222,7 @@
             self._send(answer)
 
     def _update_source_position(self, now: float, message: Datagram) -> None:
-        """Record what the sender holds of the platform or source, and how fresh that is."""
+        """Record which platform revision or source position the sender holds, and its age."""
         age_s = message.get("platform_age_s", UNKNOWN_AGE_S)
         seen_at = now - max(0.0, age_s)
         if self._events.on_peer_position is None:
--- a/roadpass/message.py
+++ b/roadpass/message.py
@@ -65,7 +65,7 @@
         id: Ingress VM, its incarnation and a counter.
         remaining_ms: How much longer the ingress will wait for the reply.
         revision: Configuration revision by which the ingress chose the target.
-        slow_ms: Latency that counts as slow by the service's other targets, 0 if unknown.
+        slow_ms: Latency that is slow compared to the service's other targets, 0 if unknown.
         key: The caller's idempotency key, scoped to the service, empty for none.
         repeat: Whether the caller declared the request a repeat with that key.
         request_id: Request id set by the caller, empty for none.
@@ -114,7 +114,7 @@
 
     @property
     def spare(self) -> bool:
-        """Whether its failure does not lose the request, or without it the request is refused."""
+        """Whether the request is not lost if it fails, or would be refused without it."""
         return self.pressing or not self.last
 
     @property
@@ -149,7 +149,7 @@
         pressing: Whether all targets refused the request before.
         most_bad: Highest acceptable probability that the target is failing, 0 to 1.
         most_wait_ms: Longest acceptable wait for a slot in milliseconds.
-        spare: Whether the failure of the attempt does not lose the request.
+        spare: Whether the request is not lost if the attempt fails, or is refused without it.
         repeat: Whether an earlier attempt at the request reached a target.
         route: Route of the request, by which its typical latency is looked up.
     """
@@ -225,7 +225,7 @@
 
     Args:
         latency_ms: 95th percentile of the service time, 0 while there are too few samples.
-        bad: Probability that the target is in a period of failures, 0 to 1.
+        bad: Probability that the target is failing, 0 to 1.
         wait_ms: Milliseconds that the requester would wait for a slot.
     """
 
@@ -245,7 +245,8 @@
 
     Args:
         load: Load report of the target, if included.
-        crash: Crash record if targets ended during the request, see `roadpass.quarantine`.
+        crash: Crash record of the request, if targets crashed while they processed it, see
+            `roadpass.quarantine`.
     """
 
     outcome: Outcome
--- a/stand_ins/caller.py
+++ b/stand_ins/caller.py
@@ -1,4 +1,4 @@
-"""Stand-in for callers: a bounded open load that checks every answer."""
+"""Stand-in for callers: an open-loop load of bounded concurrency that checks every response."""
 
 import argparse
 import itertools
@@ -21,7 +21,11 @@
 
 
 class Result(NamedTuple):
-    """What became of one request, as the caller sees it; times in seconds."""
+    """The outcome of one request as its caller sees it; times in seconds.
+
+    `started` is the intended send time, from which the latency counts. A request without a response
+    has status 0 and the outcome "lost"; `wrong` is set if the response belongs to another request.
+    """
 
     id: str
     path: str
@@ -35,7 +39,7 @@
 
 
 class Load(NamedTuple):
-    """One stream of requests."""
+    """One stream of requests at a constant rate per second."""
 
     method: str
     path: str
@@ -44,13 +48,14 @@
 
 
 class Caller:
-    """Sends requests at intended times through several addresses, each by chance.
+    """Sends requests at scheduled times, each to a random one of several addresses.
 
-    Taking turns would not do: loads of commensurable rates then keep to some addresses each.
+    Round robin would not do: loads whose rates have a common divisor would each use the same few
+    addresses all the time.
 
     Args:
         addresses: `ip:port` of ingresses.
-        threads: Requests at once.
+        threads: Requests of each load in flight at once.
     """
 
     def __init__(self, addresses: Sequence[str], *, threads: int = 16) -> None:
@@ -67,13 +72,13 @@
         self.results: list[Result] = []
 
     def run(self, loads: Sequence[Load], duration_s: float) -> list[Result]:
-        """Send for a while and return every result."""
+        """Send all loads for `duration_s` and return the results of all runs so far."""
         stop_at = clock.now() + duration_s
         threads = []
         for load in loads:
             for index in range(self._threads):
-                plan = self._plan(load, index, stop_at)
-                threads.append(threading.Thread(target=plan, daemon=True))
+                sender = self._sender(load, index, stop_at)
+                threads.append(threading.Thread(target=sender, daemon=True))
         for thread in threads:
             thread.start()
         for thread in threads:
@@ -81,7 +86,7 @@
         return self.results
 
     def send(self, load: Load, *, intended: float | None = None) -> Result:
-        """Send one request."""
+        """Send one request; `intended` is its scheduled time, by default now."""
         request_id = f"{self._prefix}{next(self._numbers)}"
         pool = self._rng.choice(self._pools)
         started = intended if intended is not None else clock.now()
@@ -93,21 +98,21 @@
                 load.method, path, body=body, headers=headers, retries=False, redirect=False
             )
         except urllib3.exceptions.HTTPError as error:
-            result = _lost(request_id, load.path, started, type(error).__name__)
+            result = _failed(request_id, load.path, started, type(error).__name__)
         else:
-            result = _judge(request_id, load.path, path, started, response)
+            result = _check_response(request_id, load.path, path, started, response)
         self.results.append(result)
         return result
 
-    def _plan(self, load: Load, index: int, stop_at: float) -> Callable[[], None]:
+    def _sender(self, load: Load, index: int, stop_at: float) -> Callable[[], None]:
         interval = self._threads / load.rate
 
         def send_all() -> None:
             next_at = clock.now() + interval * index / self._threads
             while next_at < stop_at:
-                pause = next_at - clock.now()
-                if pause > 0.0:
-                    time.sleep(pause)
+                delay = next_at - clock.now()
+                if delay > 0.0:
+                    time.sleep(delay)
                 self.send(load, intended=next_at)
                 next_at += interval
 
@@ -128,7 +133,7 @@
     }
 
 
-def _judge(
+def _check_response(
     request_id: str, route: str, path: str, started: float, response: urllib3.BaseHTTPResponse
 ) -> Result:
     latency_s = clock.now() - started
@@ -147,9 +152,9 @@
     )
 
 
-def _lost(request_id: str, route: str, started: float, why: str) -> Result:
+def _failed(request_id: str, route: str, started: float, error: str) -> Result:
     latency_s = clock.now() - started
-    return Result(request_id, route, 0, "lost", why, "", started, latency_s, False)
+    return Result(request_id, route, 0, "lost", error, "", started, latency_s, False)
 
 
 def _split(address: str) -> tuple[str, int]:
--- a/stand_ins/target.py
+++ b/stand_ins/target.py
@@ -1,7 +1,7 @@
-"""Stand-in for a target: slots, cold start, shedding, and gray failures; keeps a ledger.
+"""Stand-in for a target with slots, cold start, load shedding and gray failures.
 
-The behaviour is set through `POST /_control` with fields of `Behaviour`; `GET /_ledger` tells how
-often each request id (the caller's `X-Request` header) was run to its end or only begun.
+Tests set its behaviour through `POST /_control` with fields of `Behaviour`. `GET /_ledger` returns
+how often each request id (the caller's `X-Request` header) was begun and how often it finished.
 """
 
 import argparse
@@ -25,7 +25,13 @@
 
 @dataclass
 class Behaviour:
-    """How the target behaves; times in milliseconds."""
+    """Latency and faults of the target; times in the unit of their suffix.
+
+    `median_ms` and `spread` set the log-normal latency. `flap_s` is the length of alternating
+    faulty and healthy periods. `sick_for` is the only caller, by its `X-Ingress` header, that gets
+    the faults, empty for all. `lying_probe` keeps health checks successful despite the faults.
+    `shed` is not limited to those periods and callers.
+    """
 
     median_ms: float = 5.0
     spread: float = 0.3
@@ -40,15 +46,15 @@
     cut_answers: bool = False
     body_bytes: int = 0
 
-    def sick_now(self, caller: str) -> bool:
-        """Tell whether the faults apply to this caller at this moment."""
+    def is_faulty(self, caller: str) -> bool:
+        """Return whether the faults apply to this caller now."""
         if self.flap_s and int(clock.now() / self.flap_s) % 2:
             return False
         return not self.sick_for or self.sick_for == caller
 
 
 class TargetState:
-    """Behaviour, slots and ledger of one target."""
+    """Behaviour, slots and ledger of one target, which is slower for its first `cold_s` seconds."""
 
     def __init__(self, name: str, slots: int, cold_s: float) -> None:
         self.name = name
@@ -58,26 +64,26 @@
         self.lock = threading.Lock()
         self.begun: Counter[str] = Counter()
         self.finished: Counter[str] = Counter()
-        self.cut = 0
+        self.cancelled = 0
         self.served = 0
 
     def begin(self, request_id: str) -> None:
-        """Note that a request is run."""
+        """Record that a request starts to run."""
         with self.lock:
             self.begun[request_id] += 1
             self.served += 1
 
     def finish(self, request_id: str) -> None:
-        """Note that its work is done."""
+        """Record that the work on a request is done."""
         with self.lock:
             self.finished[request_id] += 1
 
 
 class TargetGateway(WebGateway):
-    """Runs requests as the behaviour says."""
+    """Serves requests as the behaviour requires."""
 
     def answer(self) -> None:
-        """Run one request, or a control call of the test."""
+        """Serve a request, a health check or a control call of a test."""
         state: TargetState = self.req.server.owner
         path = urlsplit(self.uri).path
         if path.startswith("/_"):
@@ -97,16 +103,16 @@
         body = self.body()
         state.begin(request_id)
         behaviour = state.behaviour
-        sick = behaviour.sick_now(self.header("X-Ingress"))
-        if sick and (behaviour.hang or random.random() < behaviour.hang_share):
+        faulty = behaviour.is_faulty(self.header("X-Ingress"))
+        if faulty and (behaviour.hang or random.random() < behaviour.hang_share):
             self._hang(state)
             return
-        factor = behaviour.slow_factor if sick else 1.0
+        factor = behaviour.slow_factor if faulty else 1.0
         if clock.now() < state.cold_until:
             factor *= 3.0
         time.sleep(behaviour.median_ms / 1e3 * factor * random.lognormvariate(0, behaviour.spread))
         state.finish(request_id)
-        if sick and random.random() < behaviour.fail_share:
+        if faulty and random.random() < behaviour.fail_share:
             self.reply(500, [], b"failed")
             return
         answer = {
@@ -117,8 +123,8 @@
             "pad": "x" * behaviour.body_bytes,
         }
         content = json.dumps(answer).encode()
-        if sick and behaviour.cut_answers:
-            self._cut(content)
+        if faulty and behaviour.cut_answers:
+            self._truncate(content)
             return
         self.reply(200, [("Content-Type", "application/json")], content)
 
@@ -131,11 +137,11 @@
             if poller.poll(50):
                 break
         with state.lock:
-            state.cut += 1
+            state.cancelled += 1
         self.req.close_connection = True
         self.reply(500, [], b"cancelled", close=True)
 
-    def _cut(self, content: bytes) -> None:
+    def _truncate(self, content: bytes) -> None:
         req = self.req
         req.status = b"200 OK"
         req.outheaders = [(b"Content-Length", str(len(content)).encode())]
@@ -144,7 +150,7 @@
         req.write(content[: len(content) // 2])
 
     def _probe(self, state: TargetState) -> None:
-        healthy = state.behaviour.lying_probe or not state.behaviour.sick_now("")
+        healthy = state.behaviour.lying_probe or not state.behaviour.is_faulty("")
         self.reply(200 if healthy else 500, [], b"ok" if healthy else b"sick")
 
     def _control(self, state: TargetState, path: str) -> None:
@@ -158,7 +164,7 @@
                     "begun": dict(state.begun),
                     "finished": dict(state.finished),
                     "served": state.served,
-                    "cut": state.cut,
+                    "cut": state.cancelled,
                 }
             self.reply(200, [], json.dumps(ledger).encode())
         else:
--- a/tests/crowd.py
+++ b/tests/crowd.py
@@ -1,9 +1,10 @@
-"""A crowd of callers before targets in trouble, in virtual time and one process.
+"""Simulates many callers of faulty targets, in virtual time and one process.
 
-The nodes are real: their ingress decides, asks and repeats, and their sidecars admit, believe and
-count as they do anywhere. Only what lies between and behind them is a model: ways that take a fixed
-time, and targets with slots, a spread of work, trouble by a schedule, and calls to other services
-while a slot is held. So one can ask who waits, who is refused and where the work goes.
+The nodes run the real code: ingresses choose targets, query sidecars and retry; sidecars admit
+requests, estimate failures and count. Only the network and the targets are modelled: links have a
+fixed latency; targets have slots, a distribution of service times, scheduled faults, and calls to
+other services that they make while they hold a slot. Tests measure which requests are served,
+refused or delayed, and by which targets.
 """
 
 import math
@@ -28,51 +29,51 @@
 from roadpass.source import PublishedConfig, PublishedService, TargetEntry
 from roadpass.view import PeerNode, View
 from tests.crowd_target import CrowdClient, CrowdTarget
-from tests.load import Kind, Load, Told
+from tests.load import Kind, Load, RequestResult
 from tests.machine_model import PLACES
-from tests.virtual import Process, Swap, World, stand_ins
+from tests.virtual import Process, Swap, World, virtual_modules
 
 PORT = 7000
 TICK_S = 0.1
-"""Seconds between looks of a node at what its targets have had for long."""
-NEAR_TOLD = 3
-"""Nodes of the data hall that hear of news at once, and one of any."""
+"""Seconds between scans of a node for requests that its target has run for long."""
+GOSSIP_NEAR_PEERS = 3
+"""Nodes of its own data hall to which a node sends each update; one of any hall gets it too."""
 FIRST_S = 100.0
-"""Virtual time at which the callers begin."""
+"""Virtual time of the first request, in seconds."""
 
 
-class _Word(NamedTuple):
+class _Frame(NamedTuple):
     message: Message
 
 
 class _Stream:
-    """A stream to a peer: its sidecar answers, a way there and back later."""
+    """A stream to a peer; its sidecar replies after one round trip."""
 
     idle_since = 0.0
     peer_incarnation = 1
 
-    def __init__(self, crowd: "Crowd", node: "CrowdNode", way_s: float) -> None:
+    def __init__(self, crowd: "Crowd", node: "CrowdNode", one_way_s: float) -> None:
         self.carried = 0
         self._crowd = crowd
         self._node = node
-        self._way_s = way_s
+        self._one_way_s = one_way_s
         self._message: Message = {}
 
     def send(self, message: Message, **_: Any) -> None:
         self._message = message
 
-    def receive(self, *_: Any, **__: Any) -> _Word:
-        self._crowd.sleep(self._way_s)
+    def receive(self, *_: Any, **__: Any) -> _Frame:
+        self._crowd.sleep(self._one_way_s)
         reply = self._node.sidecar.answer(self._message, 0.0)
-        self._crowd.sleep(self._way_s)
-        return _Word(reply)
+        self._crowd.sleep(self._one_way_s)
+        return _Frame(reply)
 
     def close(self) -> None:
-        """Nothing is held."""
+        """Do nothing: the stream holds no resources."""
 
 
 class _Peers:
-    """Stands in for the pool of streams to other nodes."""
+    """Replaces the pool of streams to other nodes."""
 
     def __init__(self, crowd: "Crowd", node: "CrowdNode") -> None:
         self._crowd = crowd
@@ -80,10 +81,10 @@
 
     def acquire(self, address: Address, **_: Any) -> _Stream:
         peer = self._crowd.nodes.get(address[0])
-        if peer is None or not self._crowd.hears(self._node, peer):
+        if peer is None or not self._crowd.reaches(self._node, peer):
             raise ConnectError("No such node.")
-        way_s = 0.0014 if peer.hall != self._node.hall else 0.0002
-        return _Stream(self._crowd, peer, way_s)
+        one_way_s = 0.0014 if peer.hall != self._node.hall else 0.0002
+        return _Stream(self._crowd, peer, one_way_s)
 
     def exchange(self, address: Address, message: Message, **_: Any) -> Message:
         stream = self.acquire(address)
@@ -91,14 +92,14 @@
         return stream.receive().message
 
     def release(self, *_: Any) -> None:
-        """Nothing is kept."""
+        """Do nothing: streams are not pooled."""
 
     def drop(self, *_: Any) -> None:
-        """Nothing is kept."""
+        """Do nothing: streams are not pooled."""
 
 
 class CrowdNode:
-    """A node with a real ingress and a real sidecar, beside one target."""
+    """A node with a real ingress, a real sidecar and one target."""
 
     def __init__(
         self, crowd: "Crowd", vm: str, hall: str, target: CrowdTarget, fleet: Fleet
@@ -112,8 +113,8 @@
             self.sidecar = Sidecar(
                 vm, 1, self.pause, pull=lambda message: message, behind=lambda vm, revision: None
             )
-            self.has_news = False
-            self.sidecar.quarantine.on_change = self._note_news
+            self.has_updates = False
+            self.sidecar.quarantine.on_change = self._set_has_updates
             self.view = View(vm, hall, "region")
             self.configure(fleet)
             self.view.ready = True
@@ -129,23 +130,23 @@
             )
 
     def configure(self, fleet: Fleet) -> None:
-        """Put a fleet in force, in which the own target may have started again."""
+        """Apply a fleet, in which the node's own target may have restarted."""
         self.sidecar.configure(fleet)
         self.local._exchange._client = CrowdClient(self._crowd, self.target, self)
         self.view.fleet = fleet
 
     @property
     def local(self) -> Any:
-        """What the sidecar holds of the target."""
+        """The sidecar's state of its target."""
         return self.sidecar.targets[self.target.name]
 
-    def dispatch(self, kind: str, deadline: float, *, of_a_repeat: bool = False) -> Outcome:
-        """See one request to its outcome; `of_a_repeat` if a run that was one itself makes it."""
+    def dispatch(self, kind: str, deadline: float, *, called_by_repeat: bool = False) -> Outcome:
+        """Dispatch one request; `called_by_repeat` if a repeated request calls it."""
         one = self._crowd.load.kinds[kind]
         method = "GET" if one.repeatable else "POST"
         name = self._crowd.next_id()
-        if of_a_repeat:
-            self._crowd.of_repeats.add(name)
+        if called_by_repeat:
+            self._crowd.called_by_repeats.add(name)
         path = f"/{one.route or kind}/{one.path or name}"
         self._crowd.names[path, one.body] = kind
         request = Request(
@@ -161,26 +162,27 @@
         )
         return self._dispatcher.dispatch(request).outcome
 
-    def _note_news(self) -> None:
-        self.has_news = True
+    def _set_has_updates(self) -> None:
+        self.has_updates = True
 
     def tick(self) -> None:
-        """Do what the node's tickers do."""
+        """Do the work of the node's periodic tasks."""
         with self._crowd.world.acting(self.process):
             self.pause._last_tick = self._crowd.world.now
             self.local.scan_running(self._crowd.world.now)
 
 
 class Crowd:
-    """One run of a load; use `run`.
+    """One simulation of a load; use `run`.
 
     Attributes:
-        told: What became of the callers' requests, in the order of their ends.
-        arrivals: When each request reached a target, by service and id.
-        of_repeats: Requests that runs made which were repeats themselves.
-        reached: When a request with a path and body was sent to a target, in whatever coming.
-        names: Kinds by the path and body of their requests.
-        crashed: When a target ended under one, by path and body.
+        results: Results of the callers' requests, in order of completion.
+        arrivals: Times at which each request reached a target, by service and id.
+        called_by_repeats: Ids of requests that targets sent while they ran a repeated request.
+        reached: Times at which requests with a path and body were sent to a target, whatever
+            their ids.
+        names: Names of the kinds of requests, by path and body.
+        crashed: Times at which a target crashed while running a request, by path and body.
     """
 
     def __init__(self, load: Load, seed: int) -> None:
@@ -189,9 +191,9 @@
         self.gossip_rng = random.Random(seed)
         self.world = World()
         self.world.now = FIRST_S
-        self.told: list[Told] = []
+        self.results: list[RequestResult] = []
         self.arrivals: dict[tuple[str, str], list[float]] = defaultdict(list)
-        self.of_repeats: set[str] = set()
+        self.called_by_repeats: set[str] = set()
         self.reached: dict[tuple[str, bytes], list[float]] = defaultdict(list)
         self.crashed: dict[tuple[str, bytes], list[float]] = defaultdict(list)
         self.names: dict[tuple[str, bytes], str] = {}
@@ -200,10 +202,10 @@
 
     @classmethod
     def run(cls, load: Load, seed: int) -> "Crowd":
-        """Play a load to its end."""
+        """Simulate a load to its end."""
         crowd = cls(load, seed)
         places = {module: names for module, names in PLACES.items() if "socket" not in names}
-        swap = Swap(places, stand_ins(crowd.world))
+        swap = Swap(places, virtual_modules(crowd.world))
         try:
             crowd._build()
             crowd._play()
@@ -215,30 +217,30 @@
     def share(
         self, result: str, kinds: Iterable[str] = (), *, between: tuple[float, float] = (0.0, 1e9)
     ) -> float:
-        """Return the share of the callers' requests that ended in a result.
+        """Return the share of the callers' requests that had a result.
 
         Args:
-            result: See `Told`.
-            kinds: Of which kinds, none for all.
-            between: Of those sent in this time, seconds from the first caller on.
+            result: A value of `RequestResult.result`.
+            kinds: Kinds of requests to count; all by default.
+            between: Only requests sent in this interval, in seconds since the first request.
         """
         chosen = set(kinds) or set(self.load.kinds)
         begin, end = between
-        asked = [one for one in self.told if one.kind in chosen and begin <= one.at < end]
+        asked = [one for one in self.results if one.kind in chosen and begin <= one.at < end]
         return sum(one.result == result for one in asked) / len(asked)
 
     def repeats_over(self, service: str, ratio: float, slack: float, window_s: float) -> float:
-        """Return by how many the repeats of a service exceed what is allowed, at the most.
+        """Return the largest excess of a service's repeats over its budget in any window.
 
-        Repeats are arrivals beyond the first of a request, and all of those that a run made which
-        was a repeat itself. Allowed in a window are a share of the requests that came in it, or in
-        the window before it, and a slack.
+        Repeats are all arrivals of a request but the first, and all arrivals of requests that a
+        repeated request called. The budget of a window is a share of the requests that arrived in
+        it or in the window before, plus a slack. A negative result means that it was never used up.
         """
         repeats, firsts = [], []
         for (to, name), times in self.arrivals.items():
             if to == service:
                 firsts.append(times[0])
-                repeats += times if name in self.of_repeats else times[1:]
+                repeats += times if name in self.called_by_repeats else times[1:]
         over = -math.inf
         for begin in repeats:
             count = sum(begin <= at < begin + window_s for at in repeats)
@@ -250,16 +252,16 @@
         return over
 
     def sleep(self, seconds: float) -> None:
-        """Let the task that runs wait."""
+        """Let the current task wait."""
         self.world.park(lambda: False, seconds)
 
     def next_id(self) -> str:
-        """Return an id for a request."""
+        """Return a new request id."""
         self._number += 1
         return f"request-{self._number}"
 
     def draw_work_s(self, kind: Kind) -> float:
-        """Draw how long a target works on a request."""
+        """Draw the service time of a request."""
         mean = math.log(kind.work_ms / 1000.0) - kind.spread**2 / 2.0
         return self.rng.lognormvariate(mean, kind.spread)
 
@@ -267,17 +269,17 @@
         """Return the kind of a request by its path and body."""
         return self.load.kinds[self.names[path, body]]
 
-    def trouble_of(self, target: CrowdTarget) -> str:
-        """Draw what a target does to a request that reaches it now, empty for its work."""
+    def draw_fault(self, target: CrowdTarget) -> str:
+        """Draw the fault for a request that reaches a target now, empty if it runs normally."""
         now = self.world.now - FIRST_S
-        for one in self.load.troubles:
+        for one in self.load.faults:
             hit = target.name in one.targets or (not one.targets and one.service == target.service)
             if hit and one.begin <= now < one.end and self.rng.random() < one.share:
                 return one.how
         return ""
 
     def restart(self, target: CrowdTarget) -> None:
-        """Start an ended target again, under a new name that all nodes hear of."""
+        """Restart a crashed target under a new name, and configure it on all nodes."""
         target.start()
         starts = {vm: node.target.starts for vm, node in self.nodes.items()}
         fleet = _fleet(self.load, starts)
@@ -297,9 +299,9 @@
 
     def _play(self) -> None:
         nodes = list(self.nodes.values())
-        comings = sorted(self._comings())
+        scheduled = sorted(self._scheduled_requests())
         next_tick = FIRST_S
-        for at, name in comings:
+        for at, name in scheduled:
             while next_tick <= at:
                 self._advance_to(next_tick)
                 next_tick += TICK_S
@@ -312,22 +314,22 @@
 
     def _advance_to(self, at: float) -> None:
         self.world.advance(at - self.world.now, lambda: None)
-        if any(self.load.forgets):
-            self._forget()
+        if any(self.load.crash_records_lost):
+            self._clear_crash_records()
         for node in self.nodes.values():
             if node.target.is_due(self.world.now):
                 self.restart(node.target)
             node.tick()
             self._gossip(node)
 
-    def hears(self, node: CrowdNode, peer: CrowdNode) -> bool:
-        """Tell whether two nodes reach each other now."""
-        begin, end = self.load.apart
+    def reaches(self, node: CrowdNode, peer: CrowdNode) -> bool:
+        """Return whether two nodes can reach each other now."""
+        begin, end = self.load.partition
         return node.hall == peer.hall or not begin <= self.world.now - FIRST_S < end
 
-    def _forget(self) -> None:
-        """Let the nodes whose turn has come begin with nothing known of crashes."""
-        begin, end = self.load.forgets
+    def _clear_crash_records(self) -> None:
+        """Clear the crash records of the nodes that are due for it now."""
+        begin, end = self.load.crash_records_lost
         nodes = list(self.nodes.values())
         for number, node in enumerate(nodes):
             at = FIRST_S + begin + (end - begin) * (number + 1) / len(nodes)
@@ -336,21 +338,21 @@
                 node.sidecar.quarantine._answers.clear()
 
     def _gossip(self, node: CrowdNode) -> None:
-        """Let a node tell a few others what it knows of crashes, as datagrams do."""
-        if not node.has_news and self.gossip_rng.random() > TICK_S:
+        """Send a node's crash records to a few other nodes, as gossip does."""
+        if not node.has_updates and self.gossip_rng.random() > TICK_S:
             return
-        node.has_news = False
+        node.has_updates = False
         now = self.world.now
         near = [one for one in self.nodes.values() if one.hall == node.hall and one is not node]
-        peers = self.gossip_rng.sample(near, min(NEAR_TOLD, len(near)))
+        peers = self.gossip_rng.sample(near, min(GOSSIP_NEAR_PEERS, len(near)))
         for peer in (*peers, self.gossip_rng.choice(list(self.nodes.values()))):
-            if not self.hears(node, peer):
+            if not self.reaches(node, peer):
                 continue
             for row in node.sidecar.quarantine.rows(now):
                 with self.world.acting(peer.process):
                     peer.sidecar.quarantine.merge(now, row)
 
-    def _comings(self) -> Iterable[tuple[float, str]]:
+    def _scheduled_requests(self) -> Iterable[tuple[float, str]]:
         for name, kind in self.load.kinds.items():
             at = FIRST_S
             while kind.per_s and (at := at + self.rng.expovariate(kind.per_s)) < self._end:
@@ -363,23 +365,23 @@
     def _send(self, node: CrowdNode, name: str) -> None:
         kind, at = self.load.kinds[name], self.world.now
         for other, one in self.load.kinds.items():
-            if one.beside == name:
+            if one.triggered_by == name:
                 self._send(node, other)
 
-        def see_to_it() -> None:
+        def dispatch_and_record() -> None:
             outcome = node.dispatch(name, at + kind.timeout_ms / 1000.0)
             took_ms = (self.world.now - at) * 1000.0
-            self.told.append(Told(name, at - FIRST_S, took_ms, outcome))
+            self.results.append(RequestResult(name, at - FIRST_S, took_ms, outcome))
 
-        self.world.spawn(node.process, see_to_it)
+        self.world.spawn(node.process, dispatch_and_record)
 
 
 def _fleet(load: Load, starts: dict[str, int]) -> Fleet:
-    """Return the fleet of a load, built as from a store.
+    """Return the fleet of a load, built as from the store.
 
     Args:
-        load: With its routes and services.
-        starts: How often the target of a VM has started again.
+        load: The load; its kinds and targets give the routes and services.
+        starts: Number of restarts of the target on each VM.
     """
     routes = tuple(
         Route(
--- a/tests/crowd_target.py
+++ b/tests/crowd_target.py
@@ -1,4 +1,4 @@
-"""A target of a crowd: slots, a queue, trouble by a schedule, and requests that end it."""
+"""A simulated target: slots, a queue, scheduled faults, and requests that crash it."""
 
 from collections import deque
 from collections.abc import Callable
@@ -12,18 +12,18 @@
     from tests.crowd import Crowd, CrowdNode
 
 RESET_S = 0.002
-"""Seconds after which a target resets what it loses."""
+"""Seconds after which a target resets the connection of a request that it loses."""
 FAIL_S = 0.001
-"""Seconds after which a target answers that it has failed: at once, so it always seems idle."""
+"""Seconds until a failed response: so short that a failing target always seems idle."""
 DOWN_S = 2.5
-"""Seconds until a target that has ended is back: 1.3 to 3 s on the users' platform."""
+"""Seconds until a crashed target has restarted: 1.3 to 3 s on the users' platform."""
 
 
 class CrowdTarget:
-    """A target with slots, a queue before them and trouble.
+    """A target with slots, a queue and faults.
 
     Attributes:
-        starts: How often it has started again.
+        starts: Number of restarts.
     """
 
     def __init__(self, name: str, service: str, slots: int) -> None:
@@ -37,29 +37,29 @@
 
     @property
     def down(self) -> bool:
-        """Whether its process has ended."""
+        """Whether its process has crashed and not restarted."""
         return self._down_until is not None
 
     def may_run(self, ticket: object) -> bool:
-        """Tell whether a request of the queue has its turn."""
+        """Return whether a queued request may run: it is first, and a slot is free."""
         return self.running < self.slots and self.queue[0] is ticket
 
     def crash(self, now: float) -> None:
-        """End, with all that it has."""
+        """Crash, and lose all requests in flight and queued."""
         self._down_until = now + DOWN_S
 
     def is_due(self, now: float) -> bool:
-        """Tell whether it starts again now."""
+        """Return whether a crashed target is due to restart."""
         return self._down_until is not None and self._down_until <= now
 
     def start(self) -> None:
-        """Start again."""
+        """Restart."""
         self._down_until = None
         self.starts += 1
 
 
 class CrowdClient(TargetClient):
-    """What a sidecar speaks to one start of a target of the crowd through."""
+    """The sidecar's client of one incarnation of a simulated target."""
 
     def __init__(self, crowd: "Crowd", target: CrowdTarget, node: "CrowdNode") -> None:
         self._crowd = crowd
@@ -73,10 +73,10 @@
         crowd = self._crowd
         until = crowd.world.now + options["timeout_s"]
         crowd.reached[path, body].append(crowd.world.now)
-        if self.gone():
+        if self.refuses_connections():
             raise TargetRefusedError("No connection.") from ConnectionRefusedError()
         crowd.arrivals[self._target.service, options["request_id"]].append(crowd.world.now)
-        match crowd.trouble_of(self._target):
+        match crowd.draw_fault(self._target):
             case "reset":
                 crowd.sleep(RESET_S)
                 raise TargetLostError("The connection was reset.")
@@ -88,41 +88,41 @@
             case "hang":
                 crowd.sleep(options["timeout_s"])
                 raise TargetTimeoutError("No answer in time.")
-        again = len(crowd.arrivals[self._target.service, options["request_id"]]) > 1
+        repeated = len(crowd.arrivals[self._target.service, options["request_id"]]) > 1
         if crowd.kind_of(path, body).fails:
             crowd.sleep(FAIL_S)
             return TargetAnswer(Answered(500, [], b"", 1.0), False, "", None)
-        status = self._work(path, body, until, again=again)
-        if self.gone():
+        status = self._work(path, body, until, repeated=repeated)
+        if self.refuses_connections():
             raise TargetLostError("The connection ended.")
         if status is None:
             raise TargetTimeoutError("No answer in time.")
         return TargetAnswer(Answered(status, [], b"", 1.0), False, "", None)
 
-    def gone(self) -> bool:
+    def refuses_connections(self) -> bool:
         return self._target.down or self._start != self._target.starts
 
     def cancel(self, attempt_id: str) -> bool:
         return False
 
-    def _work(self, path: str, body: bytes, until: float, *, again: bool) -> int | None:
-        """Take a slot, work and call; return the status, `None` if that takes too long."""
+    def _work(self, path: str, body: bytes, until: float, *, repeated: bool) -> int | None:
+        """Take a slot, work and make the nested call; return the status, `None` on a timeout."""
         crowd, target = self._crowd, self._target
         kind = crowd.kind_of(path, body)
         ticket = object()
         target.queue.append(ticket)
-        taken = self._wait(lambda: target.may_run(ticket), until)
+        granted = self._wait(lambda: target.may_run(ticket), until)
         target.queue.remove(ticket)
-        if not taken or self.gone():
+        if not granted or self.refuses_connections():
             return None
         target.running += 1
         try:
             self._wait(lambda: False, min(crowd.world.now + crowd.draw_work_s(kind), until))
-            if kind.crashes and not self.gone() and crowd.world.now < until:
+            if kind.crashes and not self.refuses_connections() and crowd.world.now < until:
                 crowd.crashed[path, body].append(crowd.world.now)
                 target.crash(crowd.world.now)
             if kind.call and crowd.rng.random() < kind.call_share:
-                outcome = self._node.dispatch(kind.call, until, of_a_repeat=again)
+                outcome = self._node.dispatch(kind.call, until, called_by_repeat=repeated)
                 if not (isinstance(outcome, Answered) and outcome.status == 200):
                     return 500
             return 200 if crowd.world.now < until else None
@@ -130,6 +130,6 @@
             target.running -= 1
 
     def _wait(self, ready: Callable[[], bool], until: float) -> bool:
-        """Wait until something is so, or the target ends; return whether either is."""
+        """Wait until `ready` returns true or the target is gone; return whether either holds."""
         left_s = until - self._crowd.world.now
-        return self._crowd.world.park(lambda: ready() or self.gone(), left_s)
+        return self._crowd.world.park(lambda: ready() or self.refuses_connections(), left_s)
--- a/tests/gray_target.py
+++ b/tests/gray_target.py
@@ -1,4 +1,4 @@
-"""Targets that fail gray, their callers, and a ledger of what ran and what was told."""
+"""Targets with gray failures, their callers, and a ledger of runs and reported outcomes."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -19,11 +19,11 @@
 from tests.virtual import Process, World
 
 MAX_ATTEMPTS = 2
-"""Targets that one repeatable request may be sent to."""
+"""Limit of targets to which one repeatable request is sent."""
 
 
-class Mood(StrEnum):
-    """What a target does with a request that reaches it."""
+class TargetMode(StrEnum):
+    """What a target does with the requests that it receives."""
 
     RUN = "run"
     FAIL = "fail"
@@ -36,14 +36,15 @@
 
 
 @dataclass
-class Sent:
+class SentRequest:
     """One request of a caller.
 
     Attributes:
-        work: What must run once, shared by the declared repeats of a key.
-        arrived: Targets that it was sent to, in order.
+        work: Id of the work that must run at most once; declared repeats of a key share it.
+        at: Virtual time at which it was sent.
+        arrived: Targets that received it, in order.
         runs: How often it ran.
-        told: What the caller was told, `None` until then.
+        outcome: Outcome that the caller received, `None` until then.
         ran_attempts: How often each of its attempts ran.
     """
 
@@ -55,24 +56,24 @@
     key: str = ""
     arrived: list[str] = field(default_factory=list)
     runs: int = 0
-    told: Outcome | None = None
+    outcome: Outcome | None = None
     ran_attempts: Counter[str] = field(default_factory=Counter)
 
 
 class Ledger:
-    """What was sent, what ran and what was told: the truth that promises are held against."""
+    """Records what was sent, what ran and what callers were told; checks the guarantees."""
 
     def __init__(self) -> None:
-        self.sent: dict[str, Sent] = {}
+        self.sent: dict[str, SentRequest] = {}
 
     def run(self, request_id: str, attempt_id: str) -> None:
-        """Note that a target ran an attempt."""
+        """Record that a target ran an attempt."""
         one = self.sent[request_id]
         one.runs += 1
         one.ran_attempts[attempt_id] += 1
 
     def check(self) -> None:
-        """Hold every promise against what happened so far."""
+        """Assert that every guarantee has held so far."""
         runs: Counter[str] = Counter()
         for one in self.sent.values():
             runs[one.work] += one.runs
@@ -81,9 +82,9 @@
             else:
                 assert runs[one.work] <= 1, f"{one.work} ran {runs[one.work]} times"
             assert all(count == 1 for count in one.ran_attempts.values()), one.ran_attempts
-            match one.told:
+            match one.outcome:
                 case NotRun(reason=reason):
-                    assert one.runs == 0, f"{one.id} was told not run ({reason}), but it ran"
+                    assert one.runs == 0, f"{one.id} was reported as not run ({reason}), but it ran"
                 case Answered(body=body):
                     assert body == one.id.encode(), f"{one.id} got the answer of {body!r}"
                     assert one.runs > 0, f"{one.id} was answered without a run"
@@ -92,7 +93,7 @@
 
 
 class Watch:
-    """A caller's connection; implements `CallerWatch`."""
+    """Watches a caller's connection; implements `CallerWatch`."""
 
     watchable = True
 
@@ -109,47 +110,47 @@
 
 
 @dataclass
-class Arrival:
-    """A request that a target holds; it may run it, whoever still waits for that."""
+class ReceivedAttempt:
+    """An attempt that a target has received; it may run even if nobody waits for it any more."""
 
     request_id: str
     attempt_id: str
-    ended: Mood | None = None
+    ended: TargetMode | None = None
     cancelled: bool = False
 
 
 class ModelTarget:
-    """A target: it is a process of its own, so what it holds outlives the node beside it."""
+    """A target: its own process, so the requests that it holds outlive the node on its VM."""
 
     def __init__(self, name: str, ledger: Ledger) -> None:
         self.name = name
-        self.mood = Mood.RUN
-        self.held: list[Arrival] = []
+        self.mode = TargetMode.RUN
+        self.held: list[ReceivedAttempt] = []
         self._ledger = ledger
 
-    def take(self, arrival: Arrival) -> None:
-        """Get a request and act by the mood."""
-        if self.mood is not Mood.SHED:
+    def take(self, arrival: ReceivedAttempt) -> None:
+        """Receive a request and treat it according to the mood."""
+        if self.mode is not TargetMode.SHED:
             self._ledger.sent[arrival.request_id].arrived.append(self.name)
-        if self.mood is Mood.HANG:
+        if self.mode is TargetMode.HANG:
             self.held.append(arrival)
         else:
-            self.end(arrival, self.mood)
+            self.end(arrival, self.mode)
 
-    def end(self, arrival: Arrival, how: Mood) -> None:
-        """Run a request or lose it."""
+    def end(self, arrival: ReceivedAttempt, how: TargetMode) -> None:
+        """End a request: run it or lose it."""
         arrival.ended = how
-        if how in (Mood.RUN, Mood.FAIL, Mood.GARBLE, Mood.LOSE_AFTER):
+        if how in (TargetMode.RUN, TargetMode.FAIL, TargetMode.GARBLE, TargetMode.LOSE_AFTER):
             self._ledger.run(arrival.request_id, arrival.attempt_id)
 
 
 class ModelClient(TargetClient):
-    """What a sidecar speaks to a target through."""
+    """The sidecar's client of a model target."""
 
     def __init__(self, world: World, target: ModelTarget) -> None:
         self._world = world
         self._target = target
-        self._running: dict[str, Arrival] = {}
+        self._running: dict[str, ReceivedAttempt] = {}
 
     def send(
         self,
@@ -163,9 +164,9 @@
         customer: str = "",
         watch: CallerWatch | None = None,
     ) -> TargetAnswer:
-        if self._target.mood is Mood.REFUSE:
-            raise TargetRefusedError("The target refuses.")
-        arrival = Arrival(request_id, attempt_id)
+        if self._target.mode is TargetMode.REFUSE:
+            raise TargetRefusedError("The target refuses connections.")
+        arrival = ReceivedAttempt(request_id, attempt_id)
         self._running[attempt_id] = arrival
         self._target.take(arrival)
 
@@ -179,7 +180,7 @@
             del self._running[attempt_id]
         return _answer(arrival, over())
 
-    def gone(self) -> bool:
+    def refuses_connections(self) -> bool:
         return False
 
     def cancel(self, attempt_id: str) -> bool:
@@ -190,19 +191,19 @@
         return True
 
 
-def _answer(arrival: Arrival, over: bool) -> TargetAnswer:
+def _answer(arrival: ReceivedAttempt, over: bool) -> TargetAnswer:
     body = arrival.request_id.encode()
     match arrival.ended:
-        case Mood.RUN:
+        case TargetMode.RUN:
             return TargetAnswer(Answered(200, [], body, 1.0), False, "", None)
-        case Mood.FAIL:
+        case TargetMode.FAIL:
             return TargetAnswer(Answered(500, [], body, 1.0), False, "", None)
-        case Mood.SHED:
+        case TargetMode.SHED:
             return TargetAnswer(Answered(503, [], b"", 1.0), True, "", None)
-        case Mood.GARBLE:
-            raise TargetProtocolError("That is no answer.")
+        case TargetMode.GARBLE:
+            raise TargetProtocolError("The response is malformed.")
         case None if over:
-            raise CallerLeftError("The caller left or cancelled.")
+            raise CallerLeftError("The caller left or the attempt was cancelled.")
         case None:
             raise TargetTimeoutError("No answer in time.")
         case _:
--- a/tests/machine_model.py
+++ b/tests/machine_model.py
@@ -1,4 +1,4 @@
-"""Nodes of real code in the virtual world, beside targets that fail gray."""
+"""Nodes that run the real code in the virtual world, with targets that have gray failures."""
 
 import functools
 import json
@@ -25,8 +25,16 @@
 from roadpass.request import Request
 from roadpass.settings import Ports, Settings
 from roadpass.view import PeerNode, View
-from tests.gray_target import MAX_ATTEMPTS, Ledger, ModelClient, ModelTarget, Mood, Sent, Watch
-from tests.virtual import Connection, Hold, Pipe, Process, Swap, World, stand_ins
+from tests.gray_target import (
+    MAX_ATTEMPTS,
+    Ledger,
+    ModelClient,
+    ModelTarget,
+    SentRequest,
+    TargetMode,
+    Watch,
+)
+from tests.virtual import Connection, Hold, Pipe, Process, Swap, World, virtual_modules
 
 PLACES: dict[ModuleType, tuple[str, ...]] = {
     choice: ("clock", "time"),
@@ -45,21 +53,24 @@
 VMS = ("vm-1", "vm-2", "vm-3")
 TARGETS = {"t1": "vm-1", "t2": "vm-2", "t3": "vm-2", "t4": "vm-3"}
 RETRY_RATIO = 2.0
-"""Repeats a request; so many that the budget never hides a retry that should not be."""
+"""Repeats allowed per request: so many that the budget never prevents a wrong retry."""
 PORT = 7000
 KEYS = (b"k" * 16,)
-OFFSET_S = 1000.0
-"""By so much the clocks of two VMs differ."""
-AGED_S = 200.0
-"""Age of the fleet at the start: sidecars vouch for keys once they are older than 180 s."""
+CLOCK_OFFSET_S = 1000.0
+"""Clock difference between one VM and the next, in seconds."""
+FLEET_AGE_S = 200.0
+"""Age of the fleet at the start: sidecars vouch for keys only once they are 180 s old."""
 WINDOW_S = 170.0
-"""A key is promised for repeats that an ingress takes up within this time: sidecars remember it for
-180 s. What an ingress that stood still takes up later counts as work of its own."""
+"""Seconds within which a repeat with a key must reach dispatch to be covered by the guarantee.
+
+Sidecars remember a key for 180 s. A repeat that an ingress dispatches later, after a pause of its
+process, counts as new work.
+"""
 
 
 @functools.cache
 def fleet() -> Fleet:
-    """Return the fleet: one service whose targets live on three VMs."""
+    """Return the fleet: one service with four targets on three VMs."""
     value = {
         "services": {"s": {"floor_slots": 1, "queue_limit": 2}},
         "targets": {
@@ -78,8 +89,8 @@
     return Fleet({"s": service}, made.targets, routes, (), revision=1, digest="d")
 
 
-class _OneTurn(threading.Event):
-    """Lets the loop of the pause watch run once."""
+class _StopAfterOneCheck(threading.Event):
+    """Stop event that lets the loop of the pause watch run once."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -91,13 +102,13 @@
 
 
 class Node:
-    """One process with a real ingress and a real sidecar, as `roadpass.node` joins them."""
+    """One process with a real ingress and a real sidecar, connected as in `roadpass.node`."""
 
     def __init__(self, world: World, vm: str, incarnation: int, targets: list[ModelTarget]) -> None:
         self.vm = vm
         self.incarnation = incarnation
-        self.process = Process(vm, OFFSET_S * VMS.index(vm))
-        self.stood_still = False
+        self.process = Process(vm, CLOCK_OFFSET_S * VMS.index(vm))
+        self.was_frozen = False
         self._world = world
         with world.acting(self.process):
             self._build(targets)
@@ -131,23 +142,23 @@
         )
 
     def tick(self) -> None:
-        """Do what the node's tickers do: watch for pauses, and drop old fences."""
+        """Do the work of the node's periodic tasks: detect pauses, and drop expired fences."""
         if self.process.frozen:
             return
         with self._world.acting(self.process):
-            if self.stood_still:
-                self.pause._stopped = _OneTurn()
+            if self.was_frozen:
+                self.pause._stopped = _StopAfterOneCheck()
                 self.pause._run()
-            self.stood_still = False
+            self.was_frozen = False
             self.pause._last_tick = self._world.now + self.process.offset
             self.sidecar.expire()
 
     def freeze(self) -> None:
-        """Stop the process; its kernel goes on taking in bytes and connections."""
-        self.process.frozen = self.stood_still = True
+        """Freeze the process; its kernel still accepts bytes and connections."""
+        self.process.frozen = self.was_frozen = True
 
     def wake(self, ticker_first: bool) -> None:
-        """Let the process go on, its tickers before or after its other threads."""
+        """Resume the process; its periodic tasks run before or after its other threads."""
         self.process.frozen = False
         if ticker_first:
             self.tick()
@@ -165,24 +176,26 @@
 
 
 class Model:
-    """The fleet, its callers and what can go wrong; each step ends once nothing moves."""
+    """The fleet, its callers and the faults; each step runs until the world is idle."""
 
     def __init__(self) -> None:
         self.world = World()
-        self._swap = Swap(PLACES, stand_ins(self.world))
+        self._swap = Swap(PLACES, virtual_modules(self.world))
         self.ledger = Ledger()
         self.targets = [ModelTarget(name, self.ledger) for name in TARGETS]
         self.nodes = [Node(self.world, vm, 1, self.targets) for vm in VMS]
         self.watches: dict[str, Watch] = {}
-        self.advance(AGED_S)
+        self.advance(FLEET_AGE_S)
 
-    def send(self, vm: int, method: str, key: str, first: Sent | None, hold: Hold) -> Sent:
-        """Have a caller send a request, as a declared repeat of `first` if that is given."""
+    def send(
+        self, vm: int, method: str, key: str, first: SentRequest | None, hold: Hold
+    ) -> SentRequest:
+        """Send a caller's request, as a declared repeat of `first` if that is given."""
         node = self.nodes[vm]
         name = f"request-{len(self.ledger.sent)}"
         work = first.work if first is not None else name
         at = first.at if first is not None else self.world.now
-        one = Sent(name, work, method == "GET", node.process, at, key)
+        one = SentRequest(name, work, method == "GET", node.process, at, key)
         self.ledger.sent[name] = one
         watch = self.watches[name] = Watch(self.world)
         request = Request(
@@ -192,24 +205,24 @@
         def dispatch_it() -> None:
             if self.world.now - at > WINDOW_S:
                 one.work = name
-            one.told = node.dispatcher.dispatch(request).outcome
+            one.outcome = node.dispatcher.dispatch(request).outcome
 
         self.world.spawn(node.process, dispatch_it)
         self.world.settle(hold)
         return one
 
     def advance(self, seconds: float) -> None:
-        """Let time pass for all."""
+        """Advance the virtual time."""
         self.world.advance(seconds, self._tick)
 
     def restart(self, vm: int) -> None:
-        """Kill a node's process and start another one; its fences are lost."""
+        """Kill a node's process and start a new one, without its fences."""
         old = self.nodes[vm]
         self.world.kill(old.process)
         self.nodes[vm] = Node(self.world, old.vm, old.incarnation + 1, self.targets)
 
     def stand_still(self, vm: int, seconds: float, ticker_first: bool) -> None:
-        """Freeze a node for a time, in which all that is under way to it arrives."""
+        """Freeze a node for a time, and deliver all that is in flight to it meanwhile."""
         node = self.nodes[vm]
         node.freeze()
         for pipe in self.world.pipes():
@@ -220,14 +233,14 @@
         node.wake(ticker_first)
 
     def reset(self, connection: Connection, up: int | None, down: int | None) -> None:
-        """Break a connection off for its server, client or both, behind so many bytes."""
+        """Reset a connection for its server (`up`) or client (`down`), after so many bytes each."""
         if up is not None:
-            connection.up.break_off(up)
+            connection.up.abort(up)
         if down is not None:
-            connection.down.break_off(down)
+            connection.down.abort(down)
 
-    def mend(self) -> None:
-        """Undo delays, cuts and freezes."""
+    def clear_faults(self) -> None:
+        """Undo all delays, cuts and freezes."""
         self.world.cut.clear()
         for pipe in self.world.pipes():
             pipe.held = False
@@ -235,35 +248,35 @@
             node.wake(ticker_first=True)
 
     def delayed(self) -> list[Pipe]:
-        """Return the directions of connections in which something is delayed, the oldest first."""
+        """Return the pipes in which data is delayed, oldest connection first."""
         return [pipe for pipe in self.world.pipes() if pipe.held]
 
     def release(self) -> None:
-        """Let everything arrive that was delayed."""
+        """Deliver all delayed data."""
         for pipe in self.delayed():
             pipe.held = False
         self.world.settle()
 
     def reached(self) -> list[str]:
-        """Return the VMs that the newest request reached, in order."""
+        """Return the VMs whose targets the newest request reached, in order."""
         newest = next(reversed(self.ledger.sent.values()), None)
         return [TARGETS[name] for name in newest.arrived] if newest is not None else []
 
-    def end_all(self) -> None:
-        """Let every target run what it holds, and whatever comes."""
+    def run_all_held(self) -> None:
+        """Make every target run the requests that it holds and all later ones."""
         for target in self.targets:
-            target.mood = Mood.RUN
+            target.mode = TargetMode.RUN
             while target.held:
-                target.end(target.held.pop(), Mood.RUN)
+                target.end(target.held.pop(), TargetMode.RUN)
 
-    def unanswered(self) -> list[Sent]:
-        """Return requests without an outcome whose ingress lives."""
+    def unanswered(self) -> list[SentRequest]:
+        """Return the requests without an outcome whose ingress process is alive."""
         return [
-            one for one in self.ledger.sent.values() if one.told is None and not one.process.dead
+            one for one in self.ledger.sent.values() if one.outcome is None and not one.process.dead
         ]
 
     def close(self) -> None:
-        """End all processes and give the modules their clocks back."""
+        """Kill all processes and restore the modules."""
         try:
             for node in self.nodes:
                 self.world.kill(node.process)
--- a/tests/test_crashing.py
+++ b/tests/test_crashing.py
@@ -5,7 +5,9 @@
 half of the other requests for that service were not served meanwhile. The caller got "unknown" and
 sent the request again, with a new id and at another VM; a repeatable one was also repeated by its
 ingress. Nodes kept nothing about a request beyond one such attempt, so each ingress and sidecar
-treated it as new.
+treated it as new. The simulated load shows this: the same path and body is in flight at every
+crash, with each id once or twice, and without quarantine it reaches targets for as long as it is
+sent.
 """
 
 import functools
@@ -40,7 +42,7 @@
     """At any VM: three targets crash, and those that it reaches before all nodes know of it."""
     for seed in SEEDS:
         crowd = simulate(seed)
-        assert len(crowd.crashed[CRASHING_REQUEST]) >= 3, "the load shows nothing"
+        assert len(crowd.crashed[CRASHING_REQUEST]) >= 3, "the load did not crash three targets"
         assert reached_after(crowd) <= MAX_AFTER
 
 
@@ -66,7 +68,7 @@
     """Neither is mistaken for the request that crashes targets."""
     for seed in SEEDS:
         crowd = simulate(seed, popular=POPULAR, other=OTHER_BODY)
-        assert len(crowd.crashed[CRASHING_REQUEST]) >= 3, "the load shows nothing"
+        assert len(crowd.crashed[CRASHING_REQUEST]) >= 3, "the load did not crash three targets"
         assert reached_after(crowd) <= MAX_AFTER
         for kind in ("popular", "other"):
             assert served_share(crowd, kind) >= 0.97, (seed, kind)
@@ -83,7 +85,9 @@
         assert served_share(crowd, "rare") >= 0.95, seed
 
 
-COMPANION = Kind("lab", 60.0, 300, 800, True, path="companion", route="launch", beside="crashing")
+COMPANION = Kind(
+    "lab", 60.0, 300, 800, True, path="companion", route="launch", triggered_by="crashing"
+)
 """Sent together with each request that crashes targets, to the same node."""
 
 
@@ -113,7 +117,7 @@
     """Each counts its own crashes meanwhile; afterwards the records add up in all of them."""
     apart_s = (0.5, 5.0)
     for seed in SEEDS:
-        crowd = Crowd.run(crashing(seed)._replace(apart=apart_s), seed)
+        crowd = Crowd.run(crashing(seed)._replace(partition=apart_s), seed)
         joined = [
             at - FIRST_S for at in crowd.reached[CRASHING_REQUEST] if at - FIRST_S > apart_s[1]
         ]
@@ -124,6 +128,6 @@
 def test_restarted_nodes_learn_of_it_from_others() -> None:
     """Each node in turn loses all its records once, while the request keeps coming."""
     for seed in SEEDS:
-        crowd = Crowd.run(crashing(seed)._replace(forgets=(3.5, 9.0)), seed)
-        assert len(crowd.crashed[CRASHING_REQUEST]) >= 3, "the load shows nothing"
+        crowd = Crowd.run(crashing(seed)._replace(crash_records_lost=(3.5, 9.0)), seed)
+        assert len(crowd.crashed[CRASHING_REQUEST]) >= 3, "the load did not crash three targets"
         assert reached_after(crowd) <= MAX_AFTER
--- a/tests/test_key_shown_nowhere.py
+++ b/tests/test_key_shown_nowhere.py
@@ -1,7 +1,7 @@
-"""Real nodes whose callers show keys: no output holds one, and what goes on names the customer.
+"""Callers send API keys to real nodes: no output contains a key, targets get the customer's name.
 
-What nodes send each other is deflated, so frames and datagrams are looked at as messages, at the
-place where they are written.
+Frames and datagrams between nodes are compressed, so they are checked as messages, before they are
+encoded.
 """
 
 import http.client
@@ -25,13 +25,13 @@
 
 IPS = ("127.0.44.1", "127.0.44.2")
 PORTS = {"callers": 8101, "stream": 8102, "gossip": 8102, "admin": 8103}
-KEY, GONE, LATER = "kept-key-8f3a91c2d0", "gone-key-5b7e10aa42", "later-key-77c0e1f9b3"
+KEY, REMOVED_KEY, ADDED_KEY = "kept-key-8f3a91c2d0", "gone-key-5b7e10aa42", "later-key-77c0e1f9b3"
 PAGES = ("/status", "/targets", "/members", "/audit", "/metrics", "/metrics.json", "/ready")
 LIMIT_S = 15.0
 
 
 def ask(ip: str, headers: dict[str, str], path: str = "/a/1") -> tuple[int, str]:
-    """Return status and all text of an answer."""
+    """Send a request; return the status, and the headers and body as text."""
     connection = http.client.HTTPConnection(ip, PORTS["callers"], timeout=5.0)
     base = {"Host": "h.example", "Request-Id": "id-7", "Deadline-Ms": "1500"}
     connection.request("GET", path, headers=base | headers)
@@ -42,12 +42,12 @@
 
 
 def token(key: str) -> dict[str, str]:
-    """Return the header that shows a key."""
+    """Return headers with a key, and with a forged customer name."""
     return {"Authorization": f"Token {key}", "Tenant-Id": "forged"}
 
 
 def until(done: Any) -> None:
-    """Wait until something holds."""
+    """Wait until `done` returns true; fail after `LIMIT_S`."""
     limit = clock.now() + LIMIT_S
     while clock.now() < limit:
         try:
@@ -56,7 +56,7 @@
         except OSError:
             pass
         time.sleep(0.1)
-    raise AssertionError("it never came about")
+    raise AssertionError("condition not met in time")
 
 
 def page(ip: str, path: str) -> str:
@@ -69,13 +69,13 @@
 
 
 def published(version: int, *keys: str) -> Any:
-    """Return a configuration whose one customer has these keys."""
+    """Return a configuration with one customer that has these keys."""
     rows = [["get", "h.example", "/a/", "idempotent", "s", None]]
     return config(version, rows, customers=[["library", list(keys), 100, 100]])
 
 
 def start(ip: str, folder: Path) -> "subprocess.Popen[bytes]":
-    """Start a node; all that it writes goes to a file."""
+    """Start a node; its output goes to a file."""
     settings = {
         "vm": ip,
         "hall": "h",
@@ -93,25 +93,25 @@
     return subprocess.Popen(command, stdout=log, stderr=subprocess.STDOUT)
 
 
-def test_no_message_between_nodes_holds_a_key() -> None:
-    """Neither the news of a configuration nor what is told of a customer's requests."""
+def test_no_message_between_nodes_contains_a_key() -> None:
+    """Neither a source update with a configuration nor a report of a customer's requests."""
     journal = Journal()
     journal.record(
         Changes(Position(0, 3), (ConfigPublished(decode.config(published(3, KEY))),), full=True),
         1.0,
     )
-    news = journal.since(START)
-    assert news is not None
-    written = repr(news.to_message(2.0)) + repr(Report("library", 1, 2, 2, 1.0))
+    update = journal.since(START)
+    assert update is not None
+    written = repr(update.to_message(2.0)) + repr(Report("library", 1, 2, 2, 1.0))
     assert "library" in written
     assert KEY not in written
     assert KEY.encode().hex() not in written
 
 
-def test_no_output_of_real_nodes_holds_a_key(tmp_path: Path) -> None:
-    """Logs at their finest, pages, metrics, answers, what targets get; and none works once gone."""
+def test_no_output_of_real_nodes_contains_a_key(tmp_path: Path) -> None:
+    """Debug logs, pages, metrics, responses and target requests; a removed key is rejected."""
     target, store = RawTarget(), StoreState()
-    store.put("op/config", published(3, KEY, GONE))
+    store.put("op/config", published(3, KEY, REMOVED_KEY))
     store.put("servers/i-1", entry(f"{IPS[0]}:8110"))
     server = store_server((IPS[0], 8104), store)
     server.start_thread()
@@ -119,7 +119,7 @@
     texts = []
     try:
         for ip in IPS:
-            until(lambda ip=ip: ask(ip, token(GONE))[0] == 200)
+            until(lambda ip=ip: ask(ip, token(REMOVED_KEY))[0] == 200)
             for shown in (token(KEY), token(KEY + "x"), {"Authorization": KEY}, {}):
                 texts.append(ask(ip, shown)[1])
             texts.append(ask(ip, token(KEY), "/none/")[1])
@@ -128,10 +128,10 @@
                     b"GET / nonsense\r\nAuthorization: Token " + KEY.encode() + b"\r\n\r\n"
                 )
                 texts.append(repr(sock.recv(4096)))
-        store.put("op/config", published(4, KEY, LATER))
+        store.put("op/config", published(4, KEY, ADDED_KEY))
         for ip in IPS:
-            until(lambda ip=ip: ask(ip, token(LATER))[0] == 200)
-            until(lambda ip=ip: ask(ip, token(GONE))[0] == 401)
+            until(lambda ip=ip: ask(ip, token(ADDED_KEY))[0] == 200)
+            until(lambda ip=ip: ask(ip, token(REMOVED_KEY))[0] == 401)
         texts += [page(ip, path) for ip in IPS for path in PAGES]
     finally:
         for node in nodes:
@@ -142,7 +142,9 @@
         target.close()
     texts += [(tmp_path / f"{ip}.log").read_text() for ip in IPS]
     texts += [repr(head) for head in target.heads]
-    assert not [text[:200] for text in texts for key in (KEY, GONE, LATER) if key in text]
+    assert not [
+        text[:200] for text in texts for key in (KEY, REMOVED_KEY, ADDED_KEY) if key in text
+    ]
     assert target.heads
     assert all(b"Tenant-Id: library" in head for head in target.heads)
     assert not any(b"forged" in head for head in target.heads)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -136,7 +136,7 @@
 def test_a_lost_history_and_a_refused_call_are_distinguished(bench: Bench) -> None:
     """A lost history requires a new snapshot; a refused call only has to be retried later."""
     bench.state.put("op/config", config(5, [ROW]))
-    bench.state.forget()
+    bench.state.discard_history()
     with pytest.raises(HistoryLostError):
         bench.client.watch(Position(0, 1), 0.05)
     bench.state.status = 429
@@ -162,7 +162,7 @@
     bench.client.snapshot()
     bench.client.watch(Position(4, 2), 0.01)
     bench.state.restore(bench.state.backup())
-    bench.state.forget()
+    bench.state.discard_history()
     with pytest.raises(HistoryLostError):
         bench.client.watch(Position(4, 9), 0.01)
     assert logged_eras() == [(0, 4), (4, 5)]
--- a/tests/test_platform_reader.py
+++ b/tests/test_platform_reader.py
@@ -58,11 +58,11 @@
             assert clock.now() < deadline, "not in time"
             time.sleep(0.005)
 
-    def wait_for(self, holds: Callable[[Fleet], bool], timeout_s: float = LIMIT_S) -> None:
+    def wait_for(self, condition: Callable[[Fleet], bool], timeout_s: float = LIMIT_S) -> None:
         """Wait until a condition holds for the newest fleet."""
         deadline = clock.now() + timeout_s
         with self.changed:
-            while not (self.fleets and holds(self.fleets[-1])):
+            while not (self.fleets and condition(self.fleets[-1])):
                 assert self.changed.wait(deadline - clock.now()), "not in time"
 
 
@@ -106,7 +106,7 @@
         bench.state.put("op/config", config(6, [ROW]))
         bench.state.put("servers/i-2", entry("10.0.0.2:80"))
         bench.state.put("servers/bad", b"no entry")
-        bench.state.forget()
+        bench.state.discard_history()
         time.sleep(0.5)
         assert {fleet.revision for fleet in recorder.fleets} == {4}
         bench.state.status = 200
@@ -131,7 +131,7 @@
         recorder.wait_for(lambda fleet: "i-2" in fleet.targets)
         with bench.state.changed:
             bench.state.delete("servers/i-2")
-            bench.state.forget()
+            bench.state.discard_history()
         recorder.wait_for(lambda fleet: "i-2" not in fleet.targets, BOUND_S)
     finally:
         ref.stop()
@@ -156,7 +156,7 @@
         put(b"no entry", "i-2")
         put(b"no entry", "i-3")
         assert len(audited()) == 1
-        bench.state.forget()
+        bench.state.discard_history()
         put(b"no entry", "i-4")
         assert len(audited()) == 1
         put({}, "i-5")
@@ -200,7 +200,7 @@
     try:
         recorder.wait_for(lambda fleet: fleet.revision == 4)
         bench.state.put("op/config", config(6, [ROW]))
-        bench.state.forget()
+        bench.state.discard_history()
         deadline = clock.now() + LIMIT_S
         while not any(fleet.revision == 6 for fleet in recorder.fleets):
             assert clock.now() < deadline, "not in time"
@@ -224,7 +224,7 @@
         recorder.wait_for(lambda fleet: fleet.revision == 4)
         bench.state.put("op/config", config(6, [ROW]))
         update = SourceUpdate(bench.client.snapshot(), clock.now())
-        bench.state.forget()
+        bench.state.discard_history()
         bench.state.range = lambda prefix, after: {"items": None}  # type: ignore[method-assign]
         deadline = clock.now() + LIMIT_S
         while not any(fleet.revision == 6 for fleet in recorder.fleets):
