--- a/roadpass/choice.py
+++ b/roadpass/choice.py
@@ -10,8 +10,8 @@
 from roadpass.message import Reply
 from roadpass.offer import Offer
 from roadpass.outcome import NotRun, Outcome, Reason
+from roadpass.request_state import RequestState
 from roadpass.route import Route
-from roadpass.trip import RequestState
 from roadpass.view import View
 
 REFUSED_AVOID_S = 1.0
--- a/roadpass/learning.py
+++ b/roadpass/learning.py
@@ -17,7 +17,7 @@
 from roadpass.pause import PauseWatch
 from roadpass.quarantine import Quarantine
 from roadpass.request import Observation, Pending
-from roadpass.trip import RequestState
+from roadpass.request_state import RequestState
 from roadpass.view import View
 
 
--- a/roadpass/trip_log.py
+++ b/roadpass/trip_log.py
@@ -6,7 +6,7 @@
 from roadpass.message import Attempt, Reply
 from roadpass.outcome import Answered, NotRun, Outcome, Unknown
 from roadpass.request import Request
-from roadpass.trip import RequestState
+from roadpass.request_state import RequestState
 
 
 def log_attempt(
--- a/tests/machine_model.py
+++ b/tests/machine_model.py
@@ -13,12 +13,12 @@
     local,
     pause,
     peer,
+    request_state,
     sidecar,
     slots,
     stream,
     stream_server,
     transport,
-    trip,
     trip_log,
 )
 from roadpass.fleet import Fleet
@@ -47,7 +47,7 @@
     slots: ("clock", "threading"),
     stream: ("clock", "select", "socket"),
     transport: ("clock",),
-    trip: ("clock",),
+    request_state: ("clock",),
     trip_log: ("clock",),
 }
 VMS = ("vm-1", "vm-2", "vm-3")
--- a/tests/test_trip.py
+++ b/tests/test_request_state.py
@@ -10,7 +10,7 @@
 from roadpass.message import LoadReport, Reply
 from roadpass.offer import Offer
 from roadpass.outcome import RETRY_SOON_MS, Answered, NotRun, Outcome, Reason, Unknown
-from roadpass.trip import GIVE_UP_SHARE, LAST_MAX_RISK, REPEATABLE_MAX_RISK, RequestState
+from roadpass.request_state import GIVE_UP_SHARE, LAST_MAX_RISK, REPEATABLE_MAX_RISK, RequestState
 from roadpass.view import ServiceView
 from tests.fake_sidecar import (
     FakeSidecar,
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -344,14 +344,14 @@
     ),
     Mechanism(
         "not-run is reported only if no earlier attempt may have run",
-        "roadpass/trip.py",
+        "roadpass/request_state.py",
         "return self.may_have_run or outcome",
         "return outcome",
         MODEL_TEST,
     ),
     Mechanism(
         "the maximum number of attempts of a route is respected",
-        "roadpass/trip.py",
+        "roadpass/request_state.py",
         "return most is None or self.arrivals < most",
         "return True",
         MODEL_TEST,
--- a/tools/mechanisms_of_service.py
+++ b/tools/mechanisms_of_service.py
@@ -19,17 +19,17 @@
     ),
     Mechanism(
         "a request with no retry left goes only to a reliable target",
-        "roadpass/trip.py",
+        "roadpass/request_state.py",
         "            return LAST_MAX_RISK\n",
         "            return 1.0\n",
-        "tests/test_trip.py",
+        "tests/test_request_state.py",
     ),
     Mechanism(
         "sending to another data hall has a cost",
-        "roadpass/trip.py",
+        "roadpass/request_state.py",
         "far_cost=service.far_loss_per_kb * size_kb,",
         "far_cost=0.0,",
-        "tests/test_trip.py",
+        "tests/test_request_state.py",
     ),
     Mechanism(
         "the waiting time that a full target reports is remembered",
@@ -54,10 +54,10 @@
     ),
     Mechanism(
         "short requests may take a multiple of their latency objective",
-        "roadpass/trip.py",
+        "roadpass/request_state.py",
         "            objective_factor=objective_factor,\n",
         "            objective_factor=1.0,\n",
-        "tests/test_trip.py",
+        "tests/test_request_state.py",
     ),
     Mechanism(
         "waiting in another data hall doubles the cost of sending there",
@@ -68,17 +68,17 @@
     ),
     Mechanism(
         "requests wait only while most of their kind would meet the objective",
-        "roadpass/trip.py",
+        "roadpass/request_state.py",
         "LONG_SPREADS = 0.7\n",
         "LONG_SPREADS = 1.5\n",
-        "tests/test_trip.py",
+        "tests/test_request_state.py",
     ),
     Mechanism(
         "a request of unknown duration is assumed to take a share of its objective",
-        "roadpass/trip.py",
+        "roadpass/request_state.py",
         "        return ASSUMED_SHARE * (self.route.target_latency_ms or 0)\n",
         "        return 0.0\n",
-        "tests/test_trip.py",
+        "tests/test_request_state.py",
     ),
     Mechanism(
         "the threshold of slowness depends on the kind of request",
