--- a/roadpass/dispatch.py
+++ b/roadpass/dispatch.py
@@ -29,13 +29,13 @@
 from roadpass.peer import PeerPool
 from roadpass.quota_keeper import Quotas
 from roadpass.request import Pending, Request, RequestProgress, Served
+from roadpass.request_log import log_attempt, log_end, log_refused
 from roadpass.request_state import MIN_ATTEMPT_S, RequestState
 from roadpass.retry import RetryBudget
 from roadpass.route import Route
 from roadpass.sidecar import Sidecar
 from roadpass.stop_notices import StopNotices
 from roadpass.transport import CONNECT_TIMEOUT_S, Transport
-from roadpass.trip_log import log_attempt, log_end, log_refused
 from roadpass.view import View
 
 MAX_REDIRECTS = 40
--- a/tests/machine_model.py
+++ b/tests/machine_model.py
@@ -13,13 +13,13 @@
     local,
     pause,
     peer,
+    request_log,
     request_state,
     sidecar,
     slots,
     stream,
     stream_server,
     transport,
-    trip_log,
 )
 from roadpass.fleet import Fleet
 from roadpass.request import Request
@@ -48,7 +48,7 @@
     stream: ("clock", "select", "socket"),
     transport: ("clock",),
     request_state: ("clock",),
-    trip_log: ("clock",),
+    request_log: ("clock",),
 }
 VMS = ("vm-1", "vm-2", "vm-3")
 TARGETS = {"t1": "vm-1", "t2": "vm-2", "t3": "vm-2", "t4": "vm-3"}
