--- a/roadpass/dispatch.py
+++ b/roadpass/dispatch.py
@@ -7,7 +7,6 @@
 from collections.abc import Callable
 
 from roadpass import clock
-from roadpass.choice import TargetChooser
 from roadpass.fence import Verdict
 from roadpass.fleet import Service, Target
 from roadpass.kind import RouteStatsTable
@@ -35,6 +34,7 @@
 from roadpass.route import Route
 from roadpass.sidecar import Sidecar
 from roadpass.stop_notices import StopNotices
+from roadpass.target_chooser import TargetChooser
 from roadpass.transport import CONNECT_TIMEOUT_S, Transport
 from roadpass.view import View
 
--- a/roadpass/learning.py
+++ b/roadpass/learning.py
@@ -7,7 +7,6 @@
 from collections import deque
 from collections.abc import Callable
 
-from roadpass.choice import TargetChooser
 from roadpass.detect import Sample, Scores
 from roadpass.fleet import Target
 from roadpass.kind import RouteStatsTable
@@ -18,6 +17,7 @@
 from roadpass.quarantine import Quarantine
 from roadpass.request import Observation, Pending
 from roadpass.request_state import RequestState
+from roadpass.target_chooser import TargetChooser
 from roadpass.view import View
 
 
--- a/tests/machine_model.py
+++ b/tests/machine_model.py
@@ -7,7 +7,6 @@
 from typing import Any
 
 from roadpass import (
-    choice,
     dispatch,
     exchange,
     local,
@@ -19,6 +18,7 @@
     slots,
     stream,
     stream_server,
+    target_chooser,
     transport,
 )
 from roadpass.fleet import Fleet
@@ -37,7 +37,7 @@
 from tests.virtual import Connection, Hold, Pipe, Process, Swap, World, virtual_modules
 
 PLACES: dict[ModuleType, tuple[str, ...]] = {
-    choice: ("clock", "time"),
+    target_chooser: ("clock", "time"),
     dispatch: ("clock",),
     exchange: ("clock",),
     local: ("clock", "threading"),
