--- a/roadpass/dispatch.py
+++ b/roadpass/dispatch.py
@@ -9,7 +9,6 @@
 from roadpass import clock
 from roadpass.fence import Verdict
 from roadpass.fleet import Service, Target
-from roadpass.kind import RouteStatsTable
 from roadpass.learning import AttemptFeedback
 from roadpass.load import LoadTable
 from roadpass.message import Attempt, Reply
@@ -32,6 +31,7 @@
 from roadpass.request_state import MIN_ATTEMPT_S, RequestState
 from roadpass.retry import RetryBudget
 from roadpass.route import Route
+from roadpass.route_stats import RouteStatsTable
 from roadpass.sidecar import Sidecar
 from roadpass.stop_notices import StopNotices
 from roadpass.target_chooser import TargetChooser
--- a/roadpass/learning.py
+++ b/roadpass/learning.py
@@ -9,7 +9,6 @@
 
 from roadpass.detect import Sample, Scores
 from roadpass.fleet import Target
-from roadpass.kind import RouteStatsTable
 from roadpass.load import LoadTable
 from roadpass.message import LoadReport, Reply
 from roadpass.outcome import SERVER_ERROR, Answered, NotRun, Outcome, Reason, Unknown
@@ -17,6 +16,7 @@
 from roadpass.quarantine import Quarantine
 from roadpass.request import Observation, Pending
 from roadpass.request_state import RequestState
+from roadpass.route_stats import RouteStatsTable
 from roadpass.target_chooser import TargetChooser
 from roadpass.view import View
 
--- a/roadpass/request_state.py
+++ b/roadpass/request_state.py
@@ -5,12 +5,12 @@
 
 from roadpass import clock
 from roadpass.fleet import Service, Target
-from roadpass.kind import RouteStats
 from roadpass.message import Attempt
 from roadpass.offer import FAR_OVERHEAD_KB, LATE_LOSS, Costs, Offer
 from roadpass.outcome import NotRun, Outcome, Reason
 from roadpass.request import Request
 from roadpass.route import Route
+from roadpass.route_stats import RouteStats
 from roadpass.transport import FENCE_S
 
 MAX_NEAR_PROBES = 6
--- a/tests/test_request_state.py
+++ b/tests/test_request_state.py
@@ -5,12 +5,12 @@
 from roadpass import clock
 from roadpass.balance import Candidate
 from roadpass.fleet import Fleet
-from roadpass.kind import RouteStats
 from roadpass.load import OFFER_TTL_S
 from roadpass.message import LoadReport, Reply
 from roadpass.offer import Offer
 from roadpass.outcome import RETRY_SOON_MS, Answered, NotRun, Outcome, Reason, Unknown
 from roadpass.request_state import GIVE_UP_SHARE, LAST_MAX_RISK, REPEATABLE_MAX_RISK, RequestState
+from roadpass.route_stats import RouteStats
 from roadpass.view import ServiceView
 from tests.fake_sidecar import (
     FakeSidecar,
--- a/tests/test_kind.py
+++ b/tests/test_route_stats.py
@@ -1,7 +1,7 @@
 """Statistics of duration, size and losses by route, for a bounded number of routes."""
 
-from roadpass.kind import OBJECTIVE_FACTOR_MAX, ROUTES_MAX, RouteStatsTable
 from roadpass.outcome import Answered, NotRun, Outcome, Reason, Unknown
+from roadpass.route_stats import OBJECTIVE_FACTOR_MAX, ROUTES_MAX, RouteStatsTable
 
 
 def learn(stats: RouteStatsTable, route: str, outcome: Outcome, *, took_ms: float = 1.0) -> None:
