--- a/roadpass/reader.py
+++ b/roadpass/reader.py
@@ -18,10 +18,10 @@
 from roadpass.metric import Metrics
 from roadpass.patch import read_revision_reply
 from roadpass.peer import Address, PeerPool
+from roadpass.peer_backoff import PeerBackoff
 from roadpass.revision import HeldRevision, Manifest, Version
 from roadpass.settings import Settings
 from roadpass.stream import FRAME_LIMIT_S
-from roadpass.unanswered import PeerBackoff
 
 VM_LIST_INTERVAL_S = 10.0
 RETRY_S = 2.0
--- a/tests/test_peer_positions.py
+++ b/tests/test_peer_positions.py
@@ -4,9 +4,9 @@
 from hypothesis import strategies as st
 
 from roadpass.news import PeerPosition
+from roadpass.peer_backoff import BACKOFF_S, FORGET_S, PeerBackoff
 from roadpass.peer_positions import PeerPositions
 from roadpass.position import Position
-from roadpass.unanswered import BACKOFF_S, FORGET_S, PeerBackoff
 
 VMS = [f"vm-{number}" for number in range(4)]
 
