--- a/benchmarks/_roadpass_driver.py
+++ b/benchmarks/_roadpass_driver.py
@@ -8,7 +8,7 @@
 from roadpass.health import Presence, ServiceHealth
 from roadpass.hint import FAULTY_SCORE
 from roadpass.limit import AdaptiveLimit
-from roadpass.load import LoadTable
+from roadpass.load_table import LoadTable
 from roadpass.message import LoadReport
 from roadpass.retry import RetryBudget
 
--- a/roadpass/dispatch.py
+++ b/roadpass/dispatch.py
@@ -10,7 +10,7 @@
 from roadpass.fence import Verdict
 from roadpass.fleet import Service, Target
 from roadpass.learning import AttemptFeedback
-from roadpass.load import LoadTable
+from roadpass.load_table import LoadTable
 from roadpass.message import Attempt, Reply
 from roadpass.metric import Metrics
 from roadpass.outcome import (
--- a/roadpass/learning.py
+++ b/roadpass/learning.py
@@ -9,7 +9,7 @@
 
 from roadpass.detect import Sample, Scores
 from roadpass.fleet import Target
-from roadpass.load import LoadTable
+from roadpass.load_table import LoadTable
 from roadpass.message import LoadReport, Reply
 from roadpass.outcome import SERVER_ERROR, Answered, NotRun, Outcome, Reason, Unknown
 from roadpass.pause import PauseWatch
--- a/roadpass/target_chooser.py
+++ b/roadpass/target_chooser.py
@@ -6,7 +6,7 @@
 from roadpass import clock
 from roadpass.balance import Load, LoadOf, Picker
 from roadpass.fleet import Target
-from roadpass.load import LoadTable
+from roadpass.load_table import LoadTable
 from roadpass.message import Reply
 from roadpass.offer import Offer
 from roadpass.outcome import NotRun, Outcome, Reason
--- a/tests/fake_sidecar.py
+++ b/tests/fake_sidecar.py
@@ -8,7 +8,7 @@
 from roadpass.dispatch import Dispatcher
 from roadpass.fence import Verdict
 from roadpass.fleet import Fleet
-from roadpass.load import OFFER_TTL_S
+from roadpass.load_table import OFFER_TTL_S
 from roadpass.message import Attempt, LoadReport, Reply
 from roadpass.outcome import NotRun, Outcome, Reason
 from roadpass.pause import PauseWatch
--- a/tests/test_load.py
+++ b/tests/test_load_table.py
@@ -1,6 +1,6 @@
 """Estimated load of targets: back-off from unreachable ones, and reuse of their replies."""
 
-from roadpass.load import (
+from roadpass.load_table import (
     AVOIDED,
     FAR_OFFER_TTL_MAX_S,
     OFFER_TTL_S,
--- a/tests/test_request_state.py
+++ b/tests/test_request_state.py
@@ -5,7 +5,7 @@
 from roadpass import clock
 from roadpass.balance import Candidate
 from roadpass.fleet import Fleet
-from roadpass.load import OFFER_TTL_S
+from roadpass.load_table import OFFER_TTL_S
 from roadpass.message import LoadReport, Reply
 from roadpass.offer import Offer
 from roadpass.outcome import RETRY_SOON_MS, Answered, NotRun, Outcome, Reason, Unknown
--- a/tools/mechanisms_of_service.py
+++ b/tools/mechanisms_of_service.py
@@ -33,10 +33,10 @@
     ),
     Mechanism(
         "the waiting time that a full target reports is remembered",
-        "roadpass/load.py",
+        "roadpass/load_table.py",
         "        if wait_ms <= 0.0 and last:\n",
         "        if True:\n",
-        "tests/test_load.py",
+        "tests/test_load_table.py",
     ),
     Mechanism(
         "an offer that costs more than a refusal is not accepted",
