--- a/roadpass/exchange.py
+++ b/roadpass/exchange.py
@@ -2,12 +2,12 @@
 
 from roadpass import clock
 from roadpass.belief import End
-from roadpass.call_log import CallLog
 from roadpass.crash_guard import CrashGuard
 from roadpass.decision import decided
 from roadpass.dialect import OWN, Dialect
 from roadpass.errors import TargetError, TargetRefusedError
 from roadpass.evidence import classify_end
+from roadpass.failed_calls import CallLog
 from roadpass.fleet import Service, Target
 from roadpass.message import Attempt
 from roadpass.outcome import (
--- a/roadpass/local.py
+++ b/roadpass/local.py
@@ -4,7 +4,6 @@
 
 from roadpass import clock
 from roadpass.belief import LATE_LOSS_S, End, FailureEstimator, TrackedRequest
-from roadpass.call_log import CallLog
 from roadpass.detect import Scores
 from roadpass.dialect import OWN, Dialect
 from roadpass.door import CircuitBreaker
@@ -12,6 +11,7 @@
 from roadpass.ending import Shutdown
 from roadpass.evidence import GATEWAY_TIMEOUT, Evidence, Running, counts_against
 from roadpass.exchange import Exchange
+from roadpass.failed_calls import CallLog
 from roadpass.fence import FenceTable
 from roadpass.fleet import Service, Target
 from roadpass.message import AdmissionCheck, Attempt, LoadReport
--- a/roadpass/sidecar.py
+++ b/roadpass/sidecar.py
@@ -8,10 +8,10 @@
 from roadpass import clock
 from roadpass._generated.message_types import Fenced, Hello, Recalled
 from roadpass.active_count import ActiveCount
-from roadpass.call_log import CallLog
 from roadpass.dialect import OWN, Dialect
 from roadpass.ending import Shutdown
 from roadpass.errors import StreamError
+from roadpass.failed_calls import CallLog
 from roadpass.fence import FenceTable, Verdict
 from roadpass.fleet import Fleet
 from roadpass.local import LocalTarget
--- a/tests/fake_sidecar.py
+++ b/tests/fake_sidecar.py
@@ -4,8 +4,8 @@
 import time
 from collections.abc import Sequence
 
-from roadpass.call_log import CallLog
 from roadpass.dispatch import Dispatcher
+from roadpass.failed_calls import CallLog
 from roadpass.fence import Verdict
 from roadpass.fleet import Fleet
 from roadpass.load_table import OFFER_TTL_S
--- a/tests/test_call_log.py
+++ b/tests/test_failed_calls.py
@@ -1,6 +1,6 @@
 """A failure is attributed to a call only if it may be the request's own and failed just before."""
 
-from roadpass.call_log import JUST_BEFORE_S, MAX_FAILURES, CallLog
+from roadpass.failed_calls import JUST_BEFORE_S, MAX_FAILURES, CallLog
 from roadpass.outcome import Answered, NotRun, Reason, Unknown
 
 FAILED = Answered(500, [], b"")
