--- a/benchmarks/_roadpass_driver.py
+++ b/benchmarks/_roadpass_driver.py
@@ -1,13 +1,13 @@
 """The decision modules of roadpass in the virtual time of the benchmark."""
 
 from benchmarks._driver import Driver, Fault, Request, SimulatedAttempt, Spec
+from roadpass.adaptive_limit import AdaptiveLimit
 from roadpass.admission import Admission, Admitted, Queued, Refused, Ticket
 from roadpass.balance import Candidate, Load, Picker
 from roadpass.detect import Detector, Sample, threshold
 from roadpass.eject import State
 from roadpass.health import Presence, ServiceHealth
 from roadpass.hint import FAULTY_SCORE
-from roadpass.limit import AdaptiveLimit
 from roadpass.load_table import LoadTable
 from roadpass.message import LoadReport
 from roadpass.retry import RetryBudget
--- a/roadpass/slots.py
+++ b/roadpass/slots.py
@@ -5,10 +5,10 @@
 from collections.abc import Sequence
 
 from roadpass import clock
+from roadpass.adaptive_limit import AdaptiveLimit
 from roadpass.admission import Admission, Admitted, Queued, Refused, Ticket
 from roadpass.ending import Shutdown
 from roadpass.fleet import TrafficClass
-from roadpass.limit import AdaptiveLimit
 from roadpass.message import Attempt
 from roadpass.outcome import RETRY_SOON_MS, NotRun, Reason
 
--- a/tests/test_limit.py
+++ b/tests/test_adaptive_limit.py
@@ -1,6 +1,6 @@
 """The concurrency limit: what reduces it, and what does not."""
 
-from roadpass.limit import SUSTAINED_S, AdaptiveLimit
+from roadpass.adaptive_limit import SUSTAINED_S, AdaptiveLimit
 
 SLOTS = 5
 SHORT_MS, SHORT_SLOW_MS = 3.0, 20.0
--- a/tests/test_detect.py
+++ b/tests/test_detect.py
@@ -6,6 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from roadpass.adaptive_limit import AdaptiveLimit
 from roadpass.detect import (
     FAILURE_BASE,
     FULL_FAILURE,
@@ -18,7 +19,6 @@
 from roadpass.eject import State
 from roadpass.fleet import Service, TrafficClass
 from roadpass.health import Presence, ServiceHealth
-from roadpass.limit import AdaptiveLimit
 from tests import naive
 
 WEEKLY = 0.1
