--- a/roadpass/door_log.py
+++ b/roadpass/door_log.py
@@ -3,8 +3,8 @@
 import threading
 
 from roadpass.belief import FailureEstimator
+from roadpass.circuit_breaker import CircuitBreaker
 from roadpass.decision import decided
-from roadpass.door import CircuitBreaker
 from roadpass.message import Attempt
 
 
--- a/tests/test_door.py
+++ b/tests/test_circuit_breaker.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 
 from roadpass.belief import End, FailureEstimator
-from roadpass.door import (
+from roadpass.circuit_breaker import (
     BACKOFF_MAX_S,
     BACKOFF_S,
     IDLE_S,
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -149,10 +149,10 @@
     ),
     Mechanism(
         "a target that admits only trials refuses non-repeatable requests",
-        "roadpass/door.py",
+        "roadpass/circuit_breaker.py",
         "        if not trial:\n            return False",
         "        if False:\n            return False",
-        "tests/test_door.py",
+        "tests/test_circuit_breaker.py",
     ),
     Mechanism(
         "a stream that was given up is closed",
--- a/tools/mechanisms_of_service.py
+++ b/tools/mechanisms_of_service.py
@@ -15,7 +15,7 @@
         "roadpass/belief.py",
         "                return FAILING_LOSS_SHARE / HEALTHY_LOSS_SHARE\n",
         "                return 1.0\n",
-        "tests/test_door.py",
+        "tests/test_circuit_breaker.py",
     ),
     Mechanism(
         "a request with no retry left goes only to a reliable target",
@@ -222,9 +222,9 @@
     ),
     Mechanism(
         "a failed response delays the next trial as a lost request does",
-        "roadpass/door.py",
+        "roadpass/circuit_breaker.py",
         "end in (End.LOST, End.NO_RESPONSE, End.FAILED)",
         "end in (End.LOST, End.NO_RESPONSE)",
-        "tests/test_door.py",
+        "tests/test_circuit_breaker.py",
     ),
 )
