--- a/roadpass/local.py
+++ b/roadpass/local.py
@@ -4,10 +4,10 @@
 
 from roadpass import clock
 from roadpass.belief import LATE_LOSS_S, End, FailureEstimator, TrackedRequest
+from roadpass.breaker_log import BreakerLog
 from roadpass.circuit_breaker import CircuitBreaker
 from roadpass.detect import Scores
 from roadpass.dialect import OWN, Dialect
-from roadpass.door_log import BreakerLog
 from roadpass.ending import Shutdown
 from roadpass.evidence import GATEWAY_TIMEOUT, Evidence, Running, counts_against
 from roadpass.exchange import Exchange
