--- a/roadpass/breaker_log.py
+++ b/roadpass/breaker_log.py
@@ -2,9 +2,9 @@
 
 import threading
 
-from roadpass.belief import FailureEstimator
 from roadpass.circuit_breaker import CircuitBreaker
 from roadpass.decision import decided
+from roadpass.failure_estimator import FailureEstimator
 from roadpass.message import Attempt
 
 
--- a/roadpass/circuit_breaker.py
+++ b/roadpass/circuit_breaker.py
@@ -9,7 +9,7 @@
 The log events name the two states: `door-shut` for tripped, `door-open` for not tripped.
 """
 
-from roadpass.belief import End, FailureEstimator, TrackedRequest
+from roadpass.failure_estimator import End, FailureEstimator, TrackedRequest
 
 TRIP_THRESHOLD = 0.6
 """Failure probability at which the breaker trips: two successful trials bring the highest estimate
--- a/roadpass/exchange.py
+++ b/roadpass/exchange.py
@@ -1,13 +1,13 @@
 """Sends an attempt to one target and maps the result to an outcome."""
 
 from roadpass import clock
-from roadpass.belief import End
 from roadpass.crash_guard import CrashGuard
 from roadpass.decision import decided
 from roadpass.dialect import OWN, Dialect
 from roadpass.errors import TargetError, TargetRefusedError
 from roadpass.evidence import classify_end
 from roadpass.failed_calls import CallLog
+from roadpass.failure_estimator import End
 from roadpass.fleet import Service, Target
 from roadpass.message import Attempt
 from roadpass.outcome import (
--- a/roadpass/local.py
+++ b/roadpass/local.py
@@ -3,7 +3,6 @@
 import threading
 
 from roadpass import clock
-from roadpass.belief import LATE_LOSS_S, End, FailureEstimator, TrackedRequest
 from roadpass.breaker_log import BreakerLog
 from roadpass.circuit_breaker import CircuitBreaker
 from roadpass.detect import Scores
@@ -12,6 +11,7 @@
 from roadpass.evidence import GATEWAY_TIMEOUT, Evidence, Running, counts_against
 from roadpass.exchange import Exchange
 from roadpass.failed_calls import CallLog
+from roadpass.failure_estimator import LATE_LOSS_S, End, FailureEstimator, TrackedRequest
 from roadpass.fence import FenceTable
 from roadpass.fleet import Service, Target
 from roadpass.message import AdmissionCheck, Attempt, LoadReport
--- a/tests/test_circuit_breaker.py
+++ b/tests/test_circuit_breaker.py
@@ -3,7 +3,6 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from roadpass.belief import End, FailureEstimator
 from roadpass.circuit_breaker import (
     BACKOFF_MAX_S,
     BACKOFF_S,
@@ -12,6 +11,7 @@
     TRIP_THRESHOLD,
     CircuitBreaker,
 )
+from roadpass.failure_estimator import End, FailureEstimator
 
 KIND = "r"
 TYPICAL_S = 0.1
--- a/tests/test_belief.py
+++ b/tests/test_failure_estimator.py
@@ -3,7 +3,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from roadpass.belief import (
+from roadpass.failure_estimator import (
     ACCEPTED_AFTER_S,
     PROBABILITY_MAX,
     PROBABILITY_MIN,
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -9,10 +9,10 @@
 import pytest
 
 from roadpass import clock
-from roadpass.belief import End
 from roadpass.caller_limits import CallerLimits
 from roadpass.catalogue import Policy, build_fleet
 from roadpass.evidence import HANGING_WAIT_MS
+from roadpass.failure_estimator import End
 from roadpass.fence import Verdict
 from roadpass.fleet import Fleet
 from roadpass.message import AdmissionCheck, Attempt
--- a/tools/mechanisms_of_service.py
+++ b/tools/mechanisms_of_service.py
@@ -5,14 +5,14 @@
 TARGET_CHOICE = (
     Mechanism(
         "a request pending for longer than usual counts against its target",
-        "roadpass/belief.py",
+        "roadpass/failure_estimator.py",
         "        return if_failing / share_longer\n",
         "        return 1.0\n",
-        "tests/test_belief.py",
+        "tests/test_failure_estimator.py",
     ),
     Mechanism(
         "lost requests restrict a target to trials",
-        "roadpass/belief.py",
+        "roadpass/failure_estimator.py",
         "                return FAILING_LOSS_SHARE / HEALTHY_LOSS_SHARE\n",
         "                return 1.0\n",
         "tests/test_circuit_breaker.py",
