--- a/roadpass/failure_estimator.py
+++ b/roadpass/failure_estimator.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from enum import Enum, auto
 
-from roadpass.failure_share import BaselineFailures
+from roadpass.baseline_failures import BaselineFailures
 from roadpass.usual import LatencyEstimate
 
 FAILING_LOSS_SHARE = 0.75
--- a/tests/test_failure_share.py
+++ b/tests/test_baseline_failures.py
@@ -3,7 +3,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from roadpass.failure_share import (
+from roadpass.baseline_failures import (
     BASELINE_SHARE,
     CATEGORIES_MAX,
     JUDGE_AFTER_ANSWERS,
--- a/tools/mechanisms_of_service.py
+++ b/tools/mechanisms_of_service.py
@@ -215,10 +215,10 @@
     ),
     Mechanism(
         "failures during a target's outage are not learnt as usual failures",
-        "roadpass/failure_share.py",
+        "roadpass/baseline_failures.py",
         "self._learn(categories, failed=True, weight=1.0 - bad)",
         "self._learn(categories, failed=True, weight=1.0)",
-        "tests/test_failure_share.py",
+        "tests/test_baseline_failures.py",
     ),
     Mechanism(
         "a failed response delays the next trial as a lost request does",
