--- a/roadpass/failure_estimator.py
+++ b/roadpass/failure_estimator.py
@@ -14,7 +14,7 @@
 from enum import Enum, auto
 
 from roadpass.baseline_failures import BaselineFailures
-from roadpass.usual import LatencyEstimate
+from roadpass.latency_estimate import LatencyEstimate
 
 FAILING_LOSS_SHARE = 0.75
 """Assumed share of requests that a target fails during a failure period; the higher it is, the more
--- a/roadpass/route_stats.py
+++ b/roadpass/route_stats.py
@@ -2,8 +2,8 @@
 
 from dataclasses import dataclass, field
 
+from roadpass.latency_estimate import LatencyEstimate
 from roadpass.outcome import SERVER_ERROR, Answered, Outcome, Reason, Unknown
-from roadpass.usual import LatencyEstimate
 
 SIZE_SMOOTHING = 0.1
 LOST_SMOOTHING = 0.2
--- a/tests/test_usual.py
+++ b/tests/test_latency_estimate.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from roadpass.usual import MIN_SAMPLES, TAIL_SHARE, LatencyEstimate
+from roadpass.latency_estimate import MIN_SAMPLES, TAIL_SHARE, LatencyEstimate
 
 
 def learned(times_ms: list[float]) -> LatencyEstimate:
