--- a/roadpass/crash_guard.py
+++ b/roadpass/crash_guard.py
@@ -8,7 +8,7 @@
 from roadpass.message import Attempt
 from roadpass.outcome import RETRY_SOON_MS, NotRun, Reason
 from roadpass.quarantine import Quarantine
-from roadpass.target_end import TargetExit
+from roadpass.target_exit import TargetExit
 
 ABORTED_TTL_S = 1.0
 """Seconds for which an aborted request still counts as present at a crash of its target, which may
--- a/tests/test_target_end.py
+++ b/tests/test_target_exit.py
@@ -1,6 +1,6 @@
 """Exit of a target: one identifier for all its losses, and rate-limited checks for its return."""
 
-from roadpass.target_end import CHECK_INTERVAL_S, SAME_EXIT_S, TargetExit
+from roadpass.target_exit import CHECK_INTERVAL_S, SAME_EXIT_S, TargetExit
 
 
 def test_losses_close_together_are_one_exit() -> None:
