--- a/roadpass/sidecar.py
+++ b/roadpass/sidecar.py
@@ -14,7 +14,7 @@
 from roadpass.failed_calls import CallLog
 from roadpass.fence import FenceTable, Verdict
 from roadpass.fleet import Fleet
-from roadpass.local import LocalTarget
+from roadpass.local_target import LocalTarget
 from roadpass.message import AdmissionCheck, Attempt, LoadReport, Message, Reply
 from roadpass.outcome import RETRY_SOON_MS, NotRun, Outcome, Reason, Unknown
 from roadpass.pause import PauseWatch
--- a/tests/machine_model.py
+++ b/tests/machine_model.py
@@ -9,7 +9,7 @@
 from roadpass import (
     dispatch,
     exchange,
-    local,
+    local_target,
     pause,
     peer,
     request_log,
@@ -40,7 +40,7 @@
     target_chooser: ("clock", "time"),
     dispatch: ("clock",),
     exchange: ("clock",),
-    local: ("clock", "threading"),
+    local_target: ("clock", "threading"),
     pause: ("clock", "time"),
     peer: ("clock",),
     sidecar: ("clock", "time"),
