--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -14,14 +14,14 @@
 from benchmarks._roadpass_driver import RoadpassDriver
 from roadpass.admission import Admission
 from roadpass.balance import Candidate, Load, Picker
-from roadpass.detect import (
+from roadpass.eject import State
+from roadpass.failure_detector import (
     FAILURE_BASE,
     Detector,
     Sample,
     threshold,
     wald_samples,
 )
-from roadpass.eject import State
 from roadpass.fleet import TrafficClass
 from roadpass.health import Presence, ServiceHealth
 
--- a/roadpass/evidence.py
+++ b/roadpass/evidence.py
@@ -6,7 +6,7 @@
 
 from dataclasses import dataclass
 
-from roadpass.detect import Detector, Sample, Scores, threshold
+from roadpass.failure_detector import Detector, Sample, Scores, threshold
 from roadpass.failure_estimator import End
 from roadpass.health import pending_limit_ms
 from roadpass.outcome import SERVER_ERROR, Answered, NotRun, Outcome, Reason, Unknown
--- a/roadpass/gossip_messages.py
+++ b/roadpass/gossip_messages.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from roadpass.detect import Scores
+from roadpass.failure_detector import Scores
 from roadpass.member import Member
 from roadpass.news import PeerPosition
 from roadpass.position import Position
--- a/roadpass/health.py
+++ b/roadpass/health.py
@@ -5,8 +5,8 @@
 from statistics import median_low
 from typing import NamedTuple
 
-from roadpass.detect import FAILURE_BASE, Detector, Sample, Scores, threshold
 from roadpass.eject import Ejector, Fact, State, Step
+from roadpass.failure_detector import FAILURE_BASE, Detector, Sample, Scores, threshold
 from roadpass.fleet import Service
 
 SLOW_MIN_MS = 5.0
--- a/roadpass/hint.py
+++ b/roadpass/hint.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import Any, NamedTuple
 
-from roadpass.detect import Scores
+from roadpass.failure_detector import Scores
 
 FAULTY_SCORE = 1.0
 """Score from which a target is reported: the one that asks for ejection."""
--- a/roadpass/learning.py
+++ b/roadpass/learning.py
@@ -7,7 +7,7 @@
 from collections import deque
 from collections.abc import Callable
 
-from roadpass.detect import Sample, Scores
+from roadpass.failure_detector import Sample, Scores
 from roadpass.fleet import Target
 from roadpass.load_table import LoadTable
 from roadpass.message import LoadReport, Reply
--- a/roadpass/local_target.py
+++ b/roadpass/local_target.py
@@ -5,12 +5,12 @@
 from roadpass import clock
 from roadpass.breaker_log import BreakerLog
 from roadpass.circuit_breaker import CircuitBreaker
-from roadpass.detect import Scores
 from roadpass.dialect import OWN, Dialect
 from roadpass.ending import Shutdown
 from roadpass.evidence import GATEWAY_TIMEOUT, Evidence, Running, counts_against
 from roadpass.exchange import Exchange
 from roadpass.failed_calls import CallLog
+from roadpass.failure_detector import Scores
 from roadpass.failure_estimator import LATE_LOSS_S, End, FailureEstimator, TrackedRequest
 from roadpass.fence import FenceTable
 from roadpass.fleet import Service, Target
--- a/roadpass/monitor.py
+++ b/roadpass/monitor.py
@@ -9,9 +9,9 @@
 from roadpass._ticker import Ticker
 from roadpass.audit import AuditTrail, Kind
 from roadpass.balance import Candidate
-from roadpass.detect import Scores
 from roadpass.dispatch import Dispatcher
 from roadpass.eject import State, Step
+from roadpass.failure_detector import Scores
 from roadpass.fleet import Fleet
 from roadpass.health import Presence, ServiceHealth
 from roadpass.hint import FAULTY_SCORE
--- a/roadpass/request.py
+++ b/roadpass/request.py
@@ -5,7 +5,7 @@
 
 from roadpass.access import Access
 from roadpass.customer import Customer
-from roadpass.detect import Sample, Scores
+from roadpass.failure_detector import Sample, Scores
 from roadpass.message import Attempt
 from roadpass.outcome import Headers, Outcome
 
--- a/roadpass/switchboard.py
+++ b/roadpass/switchboard.py
@@ -9,8 +9,8 @@
 from roadpass import clock
 from roadpass.audit import AuditTrail, Kind
 from roadpass.configuration import RevisionOffer, Store
-from roadpass.detect import Scores
 from roadpass.errors import StreamError
+from roadpass.failure_detector import Scores
 from roadpass.fleet import Fleet
 from roadpass.gossip_messages import (
     Confirmed,
--- a/tests/test_detect.py
+++ b/tests/test_failure_detector.py
@@ -7,7 +7,8 @@
 from hypothesis import strategies as st
 
 from roadpass.adaptive_limit import AdaptiveLimit
-from roadpass.detect import (
+from roadpass.eject import State
+from roadpass.failure_detector import (
     FAILURE_BASE,
     FULL_FAILURE,
     PARTIAL_FAILURE,
@@ -16,7 +17,6 @@
     threshold,
     wald_samples,
 )
-from roadpass.eject import State
 from roadpass.fleet import Service, TrafficClass
 from roadpass.health import Presence, ServiceHealth
 from tests import naive
