--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -14,7 +14,7 @@
 from benchmarks._roadpass_driver import RoadpassDriver
 from roadpass.admission import Admission
 from roadpass.balance import Candidate, Load, Picker
-from roadpass.eject import State
+from roadpass.ejector import State
 from roadpass.failure_detector import (
     FAILURE_BASE,
     Detector,
--- a/roadpass/health.py
+++ b/roadpass/health.py
@@ -5,7 +5,7 @@
 from statistics import median_low
 from typing import NamedTuple
 
-from roadpass.eject import Ejector, Fact, State, Step
+from roadpass.ejector import Ejector, Fact, State, Step
 from roadpass.failure_detector import FAILURE_BASE, Detector, Sample, Scores, threshold
 from roadpass.fleet import Service
 
--- a/roadpass/monitor.py
+++ b/roadpass/monitor.py
@@ -10,7 +10,7 @@
 from roadpass.audit import AuditTrail, Kind
 from roadpass.balance import Candidate
 from roadpass.dispatch import Dispatcher
-from roadpass.eject import State, Step
+from roadpass.ejector import State, Step
 from roadpass.failure_detector import Scores
 from roadpass.fleet import Fleet
 from roadpass.health import Presence, ServiceHealth
--- a/tests/test_eject.py
+++ b/tests/test_ejector.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from roadpass.eject import EJECTION_S, Ejector, Fact, State
+from roadpass.ejector import EJECTION_S, Ejector, Fact, State
 from tests import naive
 
 NAMES = ["a", "b", "c", "d", "e"]
--- a/tests/test_failure_detector.py
+++ b/tests/test_failure_detector.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from roadpass.adaptive_limit import AdaptiveLimit
-from roadpass.eject import State
+from roadpass.ejector import State
 from roadpass.failure_detector import (
     FAILURE_BASE,
     FULL_FAILURE,
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -105,10 +105,10 @@
     ),
     Mechanism(
         "ejection keeps the capacity floor",
-        "roadpass/eject.py",
+        "roadpass/ejector.py",
         "if serving - fact.slots >= self._floor:",
         "if True:",
-        "tests/test_eject.py",
+        "tests/test_ejector.py",
     ),
     Mechanism(
         "a non-repeatable request is not retried after an unknown outcome",
