--- a/roadpass/caller_connection.py
+++ b/roadpass/caller_connection.py
@@ -17,7 +17,6 @@
 from roadpass.customer import Credential
 from roadpass.decision import decided
 from roadpass.dialect import OWN, Dialect
-from roadpass.ending import Shutdown
 from roadpass.fingerprint import fingerprint
 from roadpass.metric import Metrics, OutcomeKey
 from roadpass.outcome import (
@@ -29,6 +28,7 @@
     status_of,
 )
 from roadpass.request import Request, Served
+from roadpass.shutdown import Shutdown
 
 BODY_MIN_S = 10.0
 """Minimum timeout for a request body, so that a short header timeout does not cut slow uploads."""
--- a/roadpass/local_target.py
+++ b/roadpass/local_target.py
@@ -6,7 +6,6 @@
 from roadpass.breaker_log import BreakerLog
 from roadpass.circuit_breaker import CircuitBreaker
 from roadpass.dialect import OWN, Dialect
-from roadpass.ending import Shutdown
 from roadpass.evidence import GATEWAY_TIMEOUT, Evidence, Running, counts_against
 from roadpass.exchange import Exchange
 from roadpass.failed_calls import CallLog
@@ -29,6 +28,7 @@
 from roadpass.request import CallerWatch
 from roadpass.retry import RepeatAllowance
 from roadpass.shedding import Shedding
+from roadpass.shutdown import Shutdown
 from roadpass.slots import Slots
 
 MIN_START_MS = 2.0
--- a/roadpass/sidecar.py
+++ b/roadpass/sidecar.py
@@ -9,7 +9,6 @@
 from roadpass._generated.message_types import Fenced, Hello, Recalled
 from roadpass.active_count import ActiveCount
 from roadpass.dialect import OWN, Dialect
-from roadpass.ending import Shutdown
 from roadpass.errors import StreamError
 from roadpass.failed_calls import CallLog
 from roadpass.fence import FenceTable, Verdict
@@ -20,6 +19,7 @@
 from roadpass.pause import PauseWatch
 from roadpass.quarantine import Quarantine
 from roadpass.request import CallerWatch
+from roadpass.shutdown import Shutdown
 
 CLOCK_TOLERANCE_S = 5.0
 """Seconds by which a selector's time window is extended here, for clock differences between VMs."""
--- a/roadpass/slots.py
+++ b/roadpass/slots.py
@@ -7,10 +7,10 @@
 from roadpass import clock
 from roadpass.adaptive_limit import AdaptiveLimit
 from roadpass.admission import Admission, Admitted, Queued, Refused, Ticket
-from roadpass.ending import Shutdown
 from roadpass.fleet import TrafficClass
 from roadpass.message import Attempt
 from roadpass.outcome import RETRY_SOON_MS, NotRun, Reason
+from roadpass.shutdown import Shutdown
 
 WAIT_FACTOR = 1.5
 WAIT_MIN_S = 0.1
--- a/roadpass/view.py
+++ b/roadpass/view.py
@@ -5,8 +5,8 @@
 
 from roadpass.balance import Candidate, Picker
 from roadpass.caller_limits import CallerLimits
-from roadpass.ending import Shutdown
 from roadpass.fleet import Fleet, Target
+from roadpass.shutdown import Shutdown
 
 Groups: TypeAlias = tuple[tuple[str, ...], ...]
 
--- a/tests/test_clock.py
+++ b/tests/test_clock.py
@@ -15,12 +15,12 @@
 
 import roadpass
 from roadpass import clock
-from roadpass.ending import Shutdown
 from roadpass.errors import ReplyTimeoutError
 from roadpass.fleet import TrafficClass
 from roadpass.message import Attempt
 from roadpass.outcome import NotRun, Reason
 from roadpass.pause import PauseWatch
+from roadpass.shutdown import Shutdown
 from roadpass.slots import Slots
 from roadpass.stream import Stream
 from roadpass.target import TargetClient, TargetTimeoutError
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -9,7 +9,6 @@
 
 from roadpass import clock
 from roadpass.dispatch import SPENT_TTL_S
-from roadpass.ending import ANSWER_MIN_S
 from roadpass.errors import ReplyTimeoutError, StreamError
 from roadpass.fence import Verdict
 from roadpass.fleet import Fleet
@@ -18,6 +17,7 @@
 from roadpass.peer import Address, PeerPool
 from roadpass.request import CallerWatch
 from roadpass.retry import RetryBudget
+from roadpass.shutdown import ANSWER_MIN_S
 from roadpass.stream import Received, Stream
 from roadpass.transport import Transport
 from roadpass.view import PeerNode, View
--- a/tests/test_ingress.py
+++ b/tests/test_ingress.py
@@ -11,9 +11,9 @@
 import pytest
 
 from roadpass import caller_connection, clock, ingress
-from roadpass.ending import ANSWER_MIN_S
 from roadpass.outcome import Answered
 from roadpass.request import Request, Served
+from roadpass.shutdown import ANSWER_MIN_S
 from tests.calling import (
     GET,
     WAIT_S,
--- a/tests/test_stop_hazards.py
+++ b/tests/test_stop_hazards.py
@@ -10,7 +10,6 @@
 import pytest
 
 from roadpass import clock
-from roadpass.ending import ANSWER_MIN_S, Shutdown
 from roadpass.ingress import Ingress
 from roadpass.log import JsonFormatter, _encoded
 from roadpass.metric import Metrics
@@ -18,12 +17,13 @@
 from roadpass.pause import PauseWatch
 from roadpass.request import Pending
 from roadpass.settings import Ports, Settings
+from roadpass.shutdown import ANSWER_MIN_S, Shutdown
 from roadpass.sidecar import Sidecar
 from roadpass.stop import PlannedStop
 from roadpass.target import TargetClient
 from roadpass.view import PeerNode
 from tests.fake_sidecar import FakeSidecar, dispatcher
-from tests.test_ending import Waiting, full_slots
+from tests.test_shutdown import Waiting, full_slots
 from tests.test_sidecar import Bench, attempt, bench
 from tests.test_stop_order import ADDRESS, PeerLink, link, wait_for
 
--- a/tests/test_stop_more.py
+++ b/tests/test_stop_more.py
@@ -22,7 +22,7 @@
 import pytest
 
 from roadpass import clock
-from roadpass.ending import ANSWER_MIN_S
+from roadpass.shutdown import ANSWER_MIN_S
 from roadpass.stop import STOP_MARGIN_S
 from tests.stopping import (
     GRACE_S,
--- a/tests/test_stop_order.py
+++ b/tests/test_stop_order.py
@@ -11,13 +11,13 @@
 import pytest
 
 from roadpass import clock
-from roadpass.ending import ANSWER_MIN_S
 from roadpass.fleet import Target
 from roadpass.message import Attempt, LoadReport, Message, Reply
 from roadpass.outcome import Answered, NotRun, Outcome, Reason
 from roadpass.pause import PauseWatch
 from roadpass.peer import PeerPool
 from roadpass.settings import Ports, Settings
+from roadpass.shutdown import ANSWER_MIN_S
 from roadpass.sidecar import Sidecar
 from roadpass.stream_server import StreamServer
 from roadpass.transport import Transport
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -194,7 +194,7 @@
         "roadpass/slots.py",
         "else min(deadline, wait_until, last_start())",
         "else min(deadline, wait_until)",
-        "tests/test_ending.py",
+        "tests/test_shutdown.py",
     ),
     Mechanism(
         "attempts queued on another VM are recalled before the node exits",
@@ -215,7 +215,7 @@
         "roadpass/sidecar.py",
         "if verdict is Verdict.NEVER_STARTS]",
         "]",
-        "tests/test_ending.py",
+        "tests/test_shutdown.py",
     ),
     Mechanism(
         "a promise never to start counts only from the process that has the attempt",
@@ -236,7 +236,7 @@
         "roadpass/transport.py",
         "self._view.shutdown.peer_requests_until - clock.now()",
         "CONNECT_TIMEOUT_S * 100.0",
-        "tests/test_ending.py",
+        "tests/test_shutdown.py",
     ),
     Mechanism(
         "requests queued when a drain begins are returned",
