--- a/roadpass/dispatch.py
+++ b/roadpass/dispatch.py
@@ -7,9 +7,9 @@
 from collections.abc import Callable
 
 from roadpass import clock
+from roadpass.attempt_feedback import AttemptFeedback
 from roadpass.fence import Verdict
 from roadpass.fleet import Service, Target
-from roadpass.learning import AttemptFeedback
 from roadpass.load_table import LoadTable
 from roadpass.message import Attempt, Reply
 from roadpass.metric import Metrics
--- a/tools/mechanisms_of_service.py
+++ b/tools/mechanisms_of_service.py
@@ -142,7 +142,7 @@
     ),
     Mechanism(
         "an ingress records the crashes that a sidecar's reply reports",
-        "roadpass/learning.py",
+        "roadpass/attempt_feedback.py",
         "            self._quarantine.merge(now, reply.crash)\n",
         "            pass\n",
         "tests/test_quarantined_request.py",
