--- a/roadpass/dispatch.py
+++ b/roadpass/dispatch.py
@@ -25,7 +25,7 @@
 )
 from roadpass.pause import PauseWatch
 from roadpass.peer import PeerPool
-from roadpass.quota_keeper import Quotas
+from roadpass.quota_coordinator import Quotas
 from roadpass.request import Pending, Request, RequestProgress, Served
 from roadpass.request_log import log_attempt, log_end, log_refused
 from roadpass.request_state import MIN_ATTEMPT_S, RequestState
--- a/roadpass/gossip.py
+++ b/roadpass/gossip.py
@@ -38,7 +38,7 @@
 from roadpass.position import START, Position
 from roadpass.quarantine import Quarantine
 from roadpass.quota import Allowance, Report
-from roadpass.quota_keeper import QuotaMessage
+from roadpass.quota_coordinator import QuotaMessage
 from roadpass.revision import NO_VERSION, Version
 from roadpass.settings import Settings
 
--- a/roadpass/gossip_messages.py
+++ b/roadpass/gossip_messages.py
@@ -7,7 +7,7 @@
 from roadpass.member import Member
 from roadpass.news import PeerPosition
 from roadpass.position import Position
-from roadpass.quota_keeper import QuotaMessage
+from roadpass.quota_coordinator import QuotaMessage
 from roadpass.revision import Version
 from roadpass.view import PeerNode
 
--- a/roadpass/node.py
+++ b/roadpass/node.py
@@ -31,7 +31,7 @@
 from roadpass.platform.dialect import PLATFORM
 from roadpass.platform.store import StoreClient
 from roadpass.quota import QuotaPolicy
-from roadpass.quota_keeper import QuotaCoordinator, Quotas
+from roadpass.quota_coordinator import QuotaCoordinator, Quotas
 from roadpass.reader import Puller, Reader, ReaderEvents, Status
 from roadpass.settings import Settings, StoreSettings
 from roadpass.sidecar import Sidecar
--- a/roadpass/switchboard.py
+++ b/roadpass/switchboard.py
@@ -29,7 +29,7 @@
 from roadpass.patch import build_revision_reply
 from roadpass.peer import Address
 from roadpass.position import Position
-from roadpass.quota_keeper import QuotaMessage
+from roadpass.quota_coordinator import QuotaMessage
 from roadpass.reader import VersionAnnounced, choose_readers
 from roadpass.reading_turn import ReaderRank
 from roadpass.revision import Version
