--- a/roadpass/node.py
+++ b/roadpass/node.py
@@ -16,6 +16,7 @@
 from roadpass.decision import decided
 from roadpass.dialect import OWN
 from roadpass.dispatch import Dispatcher
+from roadpass.event_router import EventRouter
 from roadpass.gossip import Gossip
 from roadpass.gossip_messages import Begin, Events, Leave
 from roadpass.ingress import Ingress
@@ -38,7 +39,6 @@
 from roadpass.stop import LEAVE_MIN_S, STORE_LEAVE_S, PlannedStop
 from roadpass.store_reader import StoreEvents, StoreReader
 from roadpass.stream_server import StreamServer
-from roadpass.switchboard import EventRouter
 from roadpass.view import View
 
 READY_PEERS = 2
