--- a/roadpass/event_router.py
+++ b/roadpass/event_router.py
@@ -25,7 +25,6 @@
 from roadpass.manifest import VmEntry
 from roadpass.message import Message
 from roadpass.monitor import FleetChanged, HintReceived
-from roadpass.news import PeerPosition
 from roadpass.patch import build_revision_reply
 from roadpass.peer import Address
 from roadpass.position import Position
@@ -36,6 +35,7 @@
 from roadpass.settings import Settings
 from roadpass.sidecar import Sidecar
 from roadpass.source import PublishedConfig, TargetEntry
+from roadpass.source_update import PeerPosition
 from roadpass.view import PeerNode, View
 
 _log = logging.getLogger("roadpass.node")
--- a/roadpass/gossip.py
+++ b/roadpass/gossip.py
@@ -34,13 +34,13 @@
 from roadpass.member import Member, MemberState, Send
 from roadpass.membership import Members
 from roadpass.metric import Metrics
-from roadpass.news import PeerPosition
 from roadpass.position import START, Position
 from roadpass.quarantine import Quarantine
 from roadpass.quota import Allowance, Report
 from roadpass.quota_coordinator import QuotaMessage
 from roadpass.revision import NO_VERSION, Version
 from roadpass.settings import Settings
+from roadpass.source_update import PeerPosition
 
 TICK_S = 0.1
 PAUSE_S = 1.0
--- a/roadpass/gossip_messages.py
+++ b/roadpass/gossip_messages.py
@@ -5,10 +5,10 @@
 
 from roadpass.failure_detector import Scores
 from roadpass.member import Member
-from roadpass.news import PeerPosition
 from roadpass.position import Position
 from roadpass.quota_coordinator import QuotaMessage
 from roadpass.revision import Version
+from roadpass.source_update import PeerPosition
 from roadpass.view import PeerNode
 
 
--- a/roadpass/journal.py
+++ b/roadpass/journal.py
@@ -4,7 +4,6 @@
 from collections import deque
 from typing import NamedTuple
 
-from roadpass.news import SourceUpdate
 from roadpass.position import START, Position
 from roadpass.source import (
     Change,
@@ -14,6 +13,7 @@
     TargetPublished,
     TargetWithdrawn,
 )
+from roadpass.source_update import SourceUpdate
 
 MAX_UPDATES = 256
 """Updates kept, which cover some minutes of a busy source; a peer that missed more receives a full
--- a/roadpass/node.py
+++ b/roadpass/node.py
@@ -25,7 +25,6 @@
 from roadpass.manifest import Platform
 from roadpass.metric import Metrics
 from roadpass.monitor import HealthMonitor
-from roadpass.news import fetch_update
 from roadpass.pages import Pages, PageSources
 from roadpass.pause import PauseWatch
 from roadpass.peer import PeerPool
@@ -36,6 +35,7 @@
 from roadpass.reader import Puller, Reader, ReaderEvents, Status
 from roadpass.settings import Settings, StoreSettings
 from roadpass.sidecar import Sidecar
+from roadpass.source_update import fetch_update
 from roadpass.stop import LEAVE_MIN_S, STORE_LEAVE_S, PlannedStop
 from roadpass.store_reader import StoreEvents, StoreReader
 from roadpass.stream_server import StreamServer
--- a/roadpass/peer_asker.py
+++ b/roadpass/peer_asker.py
@@ -9,9 +9,9 @@
 from roadpass import clock
 from roadpass._actor import Actor
 from roadpass.errors import StreamError
-from roadpass.news import PeerPosition, SourceUpdate
 from roadpass.peer import Address
 from roadpass.position import Position
+from roadpass.source_update import PeerPosition, SourceUpdate
 
 _log = logging.getLogger("roadpass.reader")
 
--- a/roadpass/peer_positions.py
+++ b/roadpass/peer_positions.py
@@ -1,8 +1,8 @@
 """Positions that peers have reached in a source, and the choice of the peer to ask next."""
 
-from roadpass.news import PeerPosition
 from roadpass.peer_backoff import PeerBackoff
 from roadpass.position import Position
+from roadpass.source_update import PeerPosition
 
 
 class PeerPositions:
--- a/roadpass/reading_log.py
+++ b/roadpass/reading_log.py
@@ -6,9 +6,9 @@
 from roadpass import clock
 from roadpass.decision import decided
 from roadpass.errors import PlatformError, StreamError
-from roadpass.news import PeerPosition
 from roadpass.position import Position
 from roadpass.source import Changes, ConfigPublished
+from roadpass.source_update import PeerPosition
 
 PART = "reader"
 
--- a/roadpass/store_reader.py
+++ b/roadpass/store_reader.py
@@ -27,7 +27,6 @@
 from roadpass.fleet import Fleet
 from roadpass.journal import Journal
 from roadpass.monotonic import MonotonicReads
-from roadpass.news import PeerPosition, SourceUpdate
 from roadpass.peer import Address
 from roadpass.peer_asker import PeerFetcher, PeerRequest, PeerResult
 from roadpass.peer_positions import PeerPositions
@@ -50,6 +49,7 @@
     TargetPublished,
 )
 from roadpass.source_caller import SourceFetcher, SourceRequest, SourceResult
+from roadpass.source_update import PeerPosition, SourceUpdate
 from roadpass.unusable import InvalidItemAudit
 
 TICK_S = 0.1
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -16,11 +16,11 @@
 from roadpass.member import Member, MemberState
 from roadpass.message import check_gossip
 from roadpass.metric import Metrics
-from roadpass.news import PeerPosition
 from roadpass.packing import pack, unpack
 from roadpass.position import Position
 from roadpass.quarantine import Quarantine
 from roadpass.settings import Ports, Settings
+from roadpass.source_update import PeerPosition
 
 ADDRESS = "127.0.41.1"
 PORTS = Ports(8080, 8081, 8082, 8083)
--- a/tests/test_peer_positions.py
+++ b/tests/test_peer_positions.py
@@ -3,10 +3,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from roadpass.news import PeerPosition
 from roadpass.peer_backoff import BACKOFF_S, FORGET_S, PeerBackoff
 from roadpass.peer_positions import PeerPositions
 from roadpass.position import Position
+from roadpass.source_update import PeerPosition
 
 VMS = [f"vm-{number}" for number in range(4)]
 
--- a/tests/test_platform_reader.py
+++ b/tests/test_platform_reader.py
@@ -15,11 +15,11 @@
 from roadpass.errors import StreamError
 from roadpass.fleet import Fleet
 from roadpass.journal import Journal
-from roadpass.news import PeerPosition, SourceUpdate
 from roadpass.peer import Address
 from roadpass.position import START, Position
 from roadpass.reading_turn import TAKEOVER_SHARE, ReaderRank
 from roadpass.source import PublishedConfig
+from roadpass.source_update import PeerPosition, SourceUpdate
 from roadpass.store_reader import StoreEvents, StoreReader
 from stand_ins.store import config, entry
 from tests.store_bench import ROW, Bench
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -15,11 +15,11 @@
 from roadpass.fleet import Fleet
 from roadpass.journal import Journal
 from roadpass.metric import Metrics
-from roadpass.news import PeerPosition, SourceUpdate
 from roadpass.peer import Address
 from roadpass.platform.store import StoreClient
 from roadpass.reading_turn import ReaderRank
 from roadpass.source import PublishedConfig, TargetEntry
+from roadpass.source_update import PeerPosition, SourceUpdate
 from roadpass.store_reader import StoreEvents, StoreReader
 from stand_ins.store import StoreState, config, entry, store_server
 
--- a/tests/test_news.py
+++ b/tests/test_source_update.py
@@ -8,7 +8,6 @@
 from roadpass.customer import Customer, Customers
 from roadpass.errors import FrameError
 from roadpass.message import check
-from roadpass.news import SourceUpdate
 from roadpass.packing import pack, unpack
 from roadpass.position import Position
 from roadpass.route import Part, Route
@@ -22,6 +21,7 @@
     TargetPublished,
     TargetWithdrawn,
 )
+from roadpass.source_update import SourceUpdate
 
 names = st.text(min_size=1, max_size=8)
 routes = st.builds(
--- a/tests/test_store_reader.py
+++ b/tests/test_store_reader.py
@@ -26,11 +26,11 @@
 from roadpass.errors import PlatformError, StreamError
 from roadpass.fleet import Fleet
 from roadpass.journal import Journal
-from roadpass.news import FETCH_TIMEOUT_S, PeerPosition, SourceUpdate
 from roadpass.peer import Address
 from roadpass.position import START, Position
 from roadpass.reading_turn import ReaderRank
 from roadpass.source import Changes, ConfigPublished, HistoryLostError, PublishedConfig
+from roadpass.source_update import FETCH_TIMEOUT_S, PeerPosition, SourceUpdate
 from roadpass.store_reader import StoreEvents, StoreReader
 
 BOUND_S = 2.0
