--- a/roadpass/catalogue.py
+++ b/roadpass/catalogue.py
@@ -10,7 +10,7 @@
 
 from roadpass.fleet import Fleet, Judgement, Service, Target, TrafficClass, joined_class
 from roadpass.offer import FAR_LOSS_PER_KB
-from roadpass.revived import RestoredEntries
+from roadpass.restored_entries import RestoredEntries
 from roadpass.settings import StoreSettings
 from roadpass.source import (
     Changes,
--- a/tests/test_catalogue.py
+++ b/tests/test_catalogue.py
@@ -15,7 +15,7 @@
 )
 from roadpass.customer import Customer, Customers
 from roadpass.position import Position
-from roadpass.revived import MAX_REMEMBERED_WITHDRAWN, RESTORED_HOLD_S
+from roadpass.restored_entries import MAX_REMEMBERED_WITHDRAWN, RESTORED_HOLD_S
 from roadpass.route import Part, Route
 from roadpass.source import (
     Change,
