--- a/roadpass/event_router.py
+++ b/roadpass/event_router.py
@@ -29,8 +29,8 @@
 from roadpass.peer import Address
 from roadpass.position import Position
 from roadpass.quota_coordinator import QuotaMessage
+from roadpass.read_schedule import ReaderRank
 from roadpass.reader import VersionAnnounced, choose_readers
-from roadpass.reading_turn import ReaderRank
 from roadpass.revision import Version
 from roadpass.settings import Settings
 from roadpass.sidecar import Sidecar
--- a/tests/test_platform_reader.py
+++ b/tests/test_platform_reader.py
@@ -17,7 +17,7 @@
 from roadpass.journal import Journal
 from roadpass.peer import Address
 from roadpass.position import START, Position
-from roadpass.reading_turn import TAKEOVER_SHARE, ReaderRank
+from roadpass.read_schedule import TAKEOVER_SHARE, ReaderRank
 from roadpass.source import PublishedConfig
 from roadpass.source_update import PeerPosition, SourceUpdate
 from roadpass.store_reader import StoreEvents, StoreReader
--- a/tests/test_reading_turn.py
+++ b/tests/test_read_schedule.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from roadpass.reading_turn import MIN_WATCH_S, ReaderRank, ReadSchedule
+from roadpass.read_schedule import MIN_WATCH_S, ReaderRank, ReadSchedule
 
 BOUND_S = 2.0
 CALL_S = 0.25
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -17,7 +17,7 @@
 from roadpass.metric import Metrics
 from roadpass.peer import Address
 from roadpass.platform.store import StoreClient
-from roadpass.reading_turn import ReaderRank
+from roadpass.read_schedule import ReaderRank
 from roadpass.source import PublishedConfig, TargetEntry
 from roadpass.source_update import PeerPosition, SourceUpdate
 from roadpass.store_reader import StoreEvents, StoreReader
--- a/tests/test_store_reader.py
+++ b/tests/test_store_reader.py
@@ -28,7 +28,7 @@
 from roadpass.journal import Journal
 from roadpass.peer import Address
 from roadpass.position import START, Position
-from roadpass.reading_turn import ReaderRank
+from roadpass.read_schedule import ReaderRank
 from roadpass.source import Changes, ConfigPublished, HistoryLostError, PublishedConfig
 from roadpass.source_update import FETCH_TIMEOUT_S, PeerPosition, SourceUpdate
 from roadpass.store_reader import StoreEvents, StoreReader
