--- a/roadpass/store_reader.py
+++ b/roadpass/store_reader.py
@@ -31,8 +31,7 @@
 from roadpass.peer_asker import PeerFetcher, PeerRequest, PeerResult
 from roadpass.peer_positions import PeerPositions
 from roadpass.position import START, Position
-from roadpass.read_schedule import FIRST_REPLY_WAIT_S, ReaderRank, ReadSchedule
-from roadpass.reading_log import (
+from roadpass.read_log import (
     log_peer_behind,
     log_peer_failed,
     log_read,
@@ -40,6 +39,7 @@
     log_source_failed,
     logged,
 )
+from roadpass.read_schedule import FIRST_REPLY_WAIT_S, ReaderRank, ReadSchedule
 from roadpass.source import (
     Changes,
     HistoryLostError,
