--- a/roadpass/store_reader.py
+++ b/roadpass/store_reader.py
@@ -28,7 +28,7 @@
 from roadpass.journal import Journal
 from roadpass.monotonic import MonotonicReads
 from roadpass.peer import Address
-from roadpass.peer_asker import PeerFetcher, PeerRequest, PeerResult
+from roadpass.peer_fetcher import PeerFetcher, PeerRequest, PeerResult
 from roadpass.peer_positions import PeerPositions
 from roadpass.position import START, Position
 from roadpass.read_log import (
