--- a/roadpass/store_reader.py
+++ b/roadpass/store_reader.py
@@ -48,7 +48,7 @@
     TargetEntry,
     TargetPublished,
 )
-from roadpass.source_caller import SourceFetcher, SourceRequest, SourceResult
+from roadpass.source_fetcher import SourceFetcher, SourceRequest, SourceResult
 from roadpass.source_update import PeerPosition, SourceUpdate
 from roadpass.unusable import InvalidItemAudit
 
