--- a/roadpass/store_reader.py
+++ b/roadpass/store_reader.py
@@ -25,6 +25,7 @@
 from roadpass.decision import decided
 from roadpass.errors import PlatformError, StreamError
 from roadpass.fleet import Fleet
+from roadpass.invalid_items import InvalidItemAudit
 from roadpass.journal import Journal
 from roadpass.monotonic import MonotonicReads
 from roadpass.peer import Address
@@ -50,7 +51,6 @@
 )
 from roadpass.source_fetcher import SourceFetcher, SourceRequest, SourceResult
 from roadpass.source_update import PeerPosition, SourceUpdate
-from roadpass.unusable import InvalidItemAudit
 
 TICK_S = 0.1
 """Seconds between checks whether a read is due."""
