--- a/roadpass/store_reader.py
+++ b/roadpass/store_reader.py
@@ -27,7 +27,7 @@
 from roadpass.fleet import Fleet
 from roadpass.invalid_items import InvalidItemAudit
 from roadpass.journal import Journal
-from roadpass.monotonic import MonotonicReads
+from roadpass.monotonic_reads import MonotonicReads
 from roadpass.peer import Address
 from roadpass.peer_fetcher import PeerFetcher, PeerRequest, PeerResult
 from roadpass.peer_positions import PeerPositions
--- a/tests/test_monotonic.py
+++ b/tests/test_monotonic_reads.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 
 from roadpass.caller_limits import CallerLimits
-from roadpass.monotonic import MAX_REMEMBERED_LEAVING, MonotonicReads
+from roadpass.monotonic_reads import MAX_REMEMBERED_LEAVING, MonotonicReads
 from roadpass.position import Position
 from roadpass.source import (
     Change,
