--- a/benchmarks/_plumbing.py
+++ b/benchmarks/_plumbing.py
@@ -12,7 +12,7 @@
 
 from roadpass.message import Attempt, LoadReport, Reply
 from roadpass.outcome import Answered
-from roadpass.peer import Address, PeerPool
+from roadpass.peer_pool import Address, PeerPool
 from roadpass.stream import Stream
 from roadpass.target import TargetClient
 from roadpass.web import WebGateway, WebServer
--- a/roadpass/dispatch.py
+++ b/roadpass/dispatch.py
@@ -24,7 +24,7 @@
     Unknown,
 )
 from roadpass.pause import PauseWatch
-from roadpass.peer import PeerPool
+from roadpass.peer_pool import PeerPool
 from roadpass.quota_coordinator import Quotas
 from roadpass.request import Pending, Request, RequestProgress, Served
 from roadpass.request_log import log_attempt, log_end, log_refused
--- a/roadpass/event_router.py
+++ b/roadpass/event_router.py
@@ -26,7 +26,7 @@
 from roadpass.message import Message
 from roadpass.monitor import FleetChanged, HintReceived
 from roadpass.patch import build_revision_reply
-from roadpass.peer import Address
+from roadpass.peer_pool import Address
 from roadpass.position import Position
 from roadpass.quota_coordinator import QuotaMessage
 from roadpass.read_schedule import ReaderRank
--- a/roadpass/node.py
+++ b/roadpass/node.py
@@ -27,7 +27,7 @@
 from roadpass.monitor import HealthMonitor
 from roadpass.pages import Pages, PageSources
 from roadpass.pause import PauseWatch
-from roadpass.peer import PeerPool
+from roadpass.peer_pool import PeerPool
 from roadpass.platform.dialect import PLATFORM
 from roadpass.platform.store import StoreClient
 from roadpass.quota import QuotaPolicy
--- a/roadpass/peer_fetcher.py
+++ b/roadpass/peer_fetcher.py
@@ -9,7 +9,7 @@
 from roadpass import clock
 from roadpass._actor import Actor
 from roadpass.errors import StreamError
-from roadpass.peer import Address
+from roadpass.peer_pool import Address
 from roadpass.position import Position
 from roadpass.source_update import PeerPosition, SourceUpdate
 
--- a/roadpass/reader.py
+++ b/roadpass/reader.py
@@ -17,8 +17,8 @@
 from roadpass.manifest import Platform, VmEntry
 from roadpass.metric import Metrics
 from roadpass.patch import read_revision_reply
-from roadpass.peer import Address, PeerPool
 from roadpass.peer_backoff import PeerBackoff
+from roadpass.peer_pool import Address, PeerPool
 from roadpass.revision import HeldRevision, Manifest, Version
 from roadpass.settings import Settings
 from roadpass.stream import FRAME_LIMIT_S
--- a/roadpass/source_update.py
+++ b/roadpass/source_update.py
@@ -8,7 +8,7 @@
 from roadpass.customer import Customers
 from roadpass.errors import CustomerError, FrameError, StreamError
 from roadpass.message import Message
-from roadpass.peer import Address, PeerPool
+from roadpass.peer_pool import Address, PeerPool
 from roadpass.position import Position
 from roadpass.route import Part, Route
 from roadpass.source import (
--- a/roadpass/store_reader.py
+++ b/roadpass/store_reader.py
@@ -28,8 +28,8 @@
 from roadpass.invalid_items import InvalidItemAudit
 from roadpass.journal import Journal
 from roadpass.monotonic_reads import MonotonicReads
-from roadpass.peer import Address
 from roadpass.peer_fetcher import PeerFetcher, PeerRequest, PeerResult
+from roadpass.peer_pool import Address
 from roadpass.peer_positions import PeerPositions
 from roadpass.position import START, Position
 from roadpass.read_log import (
--- a/roadpass/transport.py
+++ b/roadpass/transport.py
@@ -15,7 +15,7 @@
 from roadpass.message import AdmissionCheck, Attempt, Message, Reply
 from roadpass.metric import Metrics
 from roadpass.outcome import RETRY_SOON_MS, NotRun, Outcome, Reason, Unknown
-from roadpass.peer import Address, PeerPool
+from roadpass.peer_pool import Address, PeerPool
 from roadpass.request import CallerWatch
 from roadpass.sidecar import Sidecar
 from roadpass.stream import CallerDisconnectedError, Stream
--- a/tests/crowd.py
+++ b/tests/crowd.py
@@ -22,7 +22,7 @@
 from roadpass.message import Message
 from roadpass.outcome import Outcome
 from roadpass.pause import PauseWatch
-from roadpass.peer import Address, PeerPool
+from roadpass.peer_pool import Address, PeerPool
 from roadpass.request import Request
 from roadpass.route import Route
 from roadpass.sidecar import Sidecar
--- a/tests/fake_sidecar.py
+++ b/tests/fake_sidecar.py
@@ -12,7 +12,7 @@
 from roadpass.message import Attempt, LoadReport, Reply
 from roadpass.outcome import NotRun, Outcome, Reason
 from roadpass.pause import PauseWatch
-from roadpass.peer import PeerPool
+from roadpass.peer_pool import PeerPool
 from roadpass.quarantine import Quarantine
 from roadpass.request import CallerWatch, Request
 from roadpass.sidecar import Sidecar
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -14,7 +14,7 @@
 from roadpass.fleet import Fleet
 from roadpass.message import Attempt, LoadReport, Message
 from roadpass.outcome import RETRY_SOON_MS, Answered, NotRun, Outcome, Reason, Unknown, status_of
-from roadpass.peer import Address, PeerPool
+from roadpass.peer_pool import Address, PeerPool
 from roadpass.request import CallerWatch
 from roadpass.retry import RetryBudget
 from roadpass.shutdown import ANSWER_MIN_S
--- a/tests/test_peer.py
+++ b/tests/test_peer_pool.py
@@ -10,7 +10,7 @@
 from roadpass import clock
 from roadpass.errors import ConnectError, StreamError
 from roadpass.message import Message
-from roadpass.peer import Address, PeerPool
+from roadpass.peer_pool import Address, PeerPool
 from roadpass.stream import MAGIC, NONCE_BYTES, Stream
 
 HELLO: Message = {"t": "hello", "vm": "vm-1", "incarnation": 7}
--- a/tests/test_reader.py
+++ b/tests/test_reader.py
@@ -16,7 +16,7 @@
 from roadpass.manifest import Platform
 from roadpass.message import Message
 from roadpass.metric import Metrics
-from roadpass.peer import Address, PeerPool
+from roadpass.peer_pool import Address, PeerPool
 from roadpass.reader import Puller, Reader, ReaderEvents, Status, VersionAnnounced, choose_readers
 from roadpass.revision import Manifest, Version
 from roadpass.settings import Settings
--- a/tests/test_restored_store.py
+++ b/tests/test_restored_store.py
@@ -15,7 +15,7 @@
 from roadpass.fleet import Fleet
 from roadpass.journal import Journal
 from roadpass.metric import Metrics
-from roadpass.peer import Address
+from roadpass.peer_pool import Address
 from roadpass.platform.store import StoreClient
 from roadpass.read_schedule import ReaderRank
 from roadpass.source import PublishedConfig, TargetEntry
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -10,7 +10,7 @@
 from roadpass.fleet import Target, TrafficClass
 from roadpass.message import Attempt
 from roadpass.outcome import Answered, NotRun, Outcome, Reason
-from roadpass.peer import PeerPool
+from roadpass.peer_pool import PeerPool
 from roadpass.shutdown import ANSWER_FACTOR, ANSWER_MIN_S, NOTIFY_S, Shutdown
 from roadpass.slots import Slots
 from roadpass.transport import Transport
--- a/tests/test_stop_order.py
+++ b/tests/test_stop_order.py
@@ -15,7 +15,7 @@
 from roadpass.message import Attempt, LoadReport, Message, Reply
 from roadpass.outcome import Answered, NotRun, Outcome, Reason
 from roadpass.pause import PauseWatch
-from roadpass.peer import PeerPool
+from roadpass.peer_pool import PeerPool
 from roadpass.settings import Ports, Settings
 from roadpass.shutdown import ANSWER_MIN_S
 from roadpass.sidecar import Sidecar
--- a/tests/test_store_reader.py
+++ b/tests/test_store_reader.py
@@ -26,7 +26,7 @@
 from roadpass.errors import PlatformError, StreamError
 from roadpass.fleet import Fleet
 from roadpass.journal import Journal
-from roadpass.peer import Address
+from roadpass.peer_pool import Address
 from roadpass.position import START, Position
 from roadpass.read_schedule import ReaderRank
 from roadpass.source import Changes, ConfigPublished, HistoryLostError, PublishedConfig
--- a/tools/mechanisms.py
+++ b/tools/mechanisms.py
@@ -87,7 +87,7 @@
         "roadpass/stream.py",
         "settimeout(max(READ_MIN_S, deadline - clock.now()))\n            chunk",
         "settimeout(FRAME_LIMIT_S)\n            chunk",
-        "tests/test_peer.py",
+        "tests/test_peer_pool.py",
     ),
     Mechanism(
         "a call to the store is bounded as a whole",
