--- a/roadpass/caller_connection.py
+++ b/roadpass/caller_connection.py
@@ -10,9 +10,14 @@
 from roadpass import clock
 from roadpass.access import Access
 from roadpass.active_count import ActiveCount
-from roadpass.caller_answer import generated_response, outcome_bytes, outcome_headers, outcome_text
 from roadpass.caller_head import Head, RefusedError
 from roadpass.caller_limits import CallerLimits
+from roadpass.caller_response import (
+    generated_response,
+    outcome_bytes,
+    outcome_headers,
+    outcome_text,
+)
 from roadpass.caller_watch import READ_BYTES, SocketWatch
 from roadpass.customer import Credential
 from roadpass.decision import decided
--- a/tests/test_caller_answer.py
+++ b/tests/test_caller_response.py
@@ -6,8 +6,8 @@
 import pytest
 
 from roadpass import caller_connection
-from roadpass.caller_answer import response_bytes
 from roadpass.caller_limits import CallerLimits
+from roadpass.caller_response import response_bytes
 from roadpass.outcome import Answered, NotRun, Outcome, Reason, Unknown
 from roadpass.request import Request, Served
 from tests.calling import GET, PLAIN, Bench, opened, post, until, watch_of
