--- a/roadpass/caller_connection.py
+++ b/roadpass/caller_connection.py
@@ -10,7 +10,6 @@
 from roadpass import clock
 from roadpass.access import Access
 from roadpass.active_count import ActiveCount
-from roadpass.caller_head import Head, RefusedError
 from roadpass.caller_limits import CallerLimits
 from roadpass.caller_response import (
     generated_response,
@@ -33,6 +32,7 @@
     status_of,
 )
 from roadpass.request import Request, Served
+from roadpass.request_head import Head, RefusedError
 from roadpass.shutdown import Shutdown
 
 BODY_MIN_S = 10.0
--- a/tools/mechanisms_of_service.py
+++ b/tools/mechanisms_of_service.py
@@ -173,14 +173,14 @@
 CUSTOMERS = (
     Mechanism(
         "a caller's customer header is not forwarded to targets",
-        "roadpass/caller_head.py",
+        "roadpass/request_head.py",
         "names += [dialect.expected_instance, dialect.customer]",
         "names += [dialect.expected_instance]",
         "tests/test_access.py",
     ),
     Mechanism(
         "a caller's key is not forwarded to targets",
-        "roadpass/caller_head.py",
+        "roadpass/request_head.py",
         "        names.append(dialect.authorization)\n",
         "        pass\n",
         "tests/test_access.py",
