--- a/roadpass/caller_connection.py
+++ b/roadpass/caller_connection.py
@@ -17,10 +17,10 @@
     outcome_headers,
     outcome_text,
 )
-from roadpass.caller_watch import READ_BYTES, SocketWatch
 from roadpass.customer import Credential
 from roadpass.decision import decided
 from roadpass.dialect import OWN, Dialect
+from roadpass.disconnect_watch import READ_BYTES, SocketWatch
 from roadpass.fingerprint import fingerprint
 from roadpass.metric import Metrics, OutcomeKey
 from roadpass.outcome import (
--- a/tests/test_caller_connection.py
+++ b/tests/test_caller_connection.py
@@ -10,7 +10,7 @@
 
 from roadpass import caller_connection, clock
 from roadpass.caller_limits import CallerLimits
-from roadpass.caller_watch import MAX_AHEAD_BYTES
+from roadpass.disconnect_watch import MAX_AHEAD_BYTES
 from roadpass.fingerprint import fingerprint
 from roadpass.outcome import Answered
 from roadpass.request import CallerWatch, Request, Served
