--- a/roadpass/caller_response.py
+++ b/roadpass/caller_response.py
@@ -8,7 +8,7 @@
 from http import HTTPStatus
 
 from roadpass.dialect import OWN, Dialect
-from roadpass.hop import end_to_end
+from roadpass.hop_by_hop import end_to_end
 from roadpass.outcome import (
     Answered,
     Headers,
--- a/roadpass/request_head.py
+++ b/roadpass/request_head.py
@@ -7,7 +7,7 @@
 import h11
 
 from roadpass.dialect import Dialect
-from roadpass.hop import connection_tokens, end_to_end
+from roadpass.hop_by_hop import connection_tokens, end_to_end
 from roadpass.outcome import Headers, Reason
 
 MAX_IDEMPOTENCY_KEY_CHARS = 128
--- a/roadpass/target.py
+++ b/roadpass/target.py
@@ -9,7 +9,7 @@
 from roadpass import clock
 from roadpass.dialect import OWN, Dialect
 from roadpass.errors import TargetRefusedError
-from roadpass.hop import connection_tokens, end_to_end
+from roadpass.hop_by_hop import connection_tokens, end_to_end
 from roadpass.outcome import Answered, Headers
 from roadpass.request import CallerWatch
 from roadpass.target_connection import (
