--- a/roadpass/event_router.py
+++ b/roadpass/event_router.py
@@ -20,9 +20,9 @@
     PublishHint,
     Seed,
 )
-from roadpass.introduction import listed_members, members_from_targets
 from roadpass.journal import Journal
 from roadpass.manifest import VmEntry
+from roadpass.member_records import listed_members, members_from_targets
 from roadpass.message import Message
 from roadpass.monitor import FleetChanged, HintReceived
 from roadpass.patch import build_revision_reply
--- a/roadpass/gossip.py
+++ b/roadpass/gossip.py
@@ -30,8 +30,8 @@
     Tick,
 )
 from roadpass.hint import HintTable
-from roadpass.introduction import node_of
 from roadpass.member import Member, MemberState, Send
+from roadpass.member_records import node_of
 from roadpass.membership import Members
 from roadpass.metric import Metrics
 from roadpass.position import START, Position
--- a/roadpass/node.py
+++ b/roadpass/node.py
@@ -20,9 +20,9 @@
 from roadpass.gossip import Gossip
 from roadpass.gossip_messages import Begin, Events, Leave
 from roadpass.ingress import Ingress
-from roadpass.introduction import own_member
 from roadpass.journal import Journal
 from roadpass.manifest import Platform
+from roadpass.member_records import own_member
 from roadpass.metric import Metrics
 from roadpass.monitor import HealthMonitor
 from roadpass.pages import Pages, PageSources
--- a/tests/test_introduction.py
+++ b/tests/test_member_records.py
@@ -1,8 +1,8 @@
 """Member records built from settings, platform lists and store targets."""
 
-from roadpass.introduction import listed_members, members_from_targets, own_member
 from roadpass.manifest import VmEntry
 from roadpass.member import Member, MemberState
+from roadpass.member_records import listed_members, members_from_targets, own_member
 from roadpass.settings import Ports, Settings
 from roadpass.source import TargetEntry
 
